--- a/crates/gateway/src/fleet_message.rs
+++ b/crates/gateway/src/fleet_message.rs
@@ -51,7 +51,7 @@
         return;
     }
     match codec::encode(message) {
-        Ok(datagram) => host.placing.send_to_peers(&host.metrics, &datagram, to),
+        Ok(datagram) => host.placement.send_to_peers(&host.metrics, &datagram, to),
         Err(e) => host.log.write(&LogEvent::PeerUnwritable { problem: e.to_string() }),
     }
 }
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -9,7 +9,7 @@
 use crate::dialect::Dialect;
 use crate::event_log::{EventLog, LogEvent};
 use crate::metrics::Metrics;
-use crate::placing::Placing;
+use crate::placement::PlacementState;
 use crate::pool::{Kept, Pool};
 use crate::settings::Settings;
 use crate::unread::UnreadMarks;
@@ -58,7 +58,7 @@
     /// What this host may send by itself to upstreams that take a rate from the whole fleet.
     pub rates: RefCell<RateSender>,
     /// Its part in scheduling.
-    pub placing: Placing,
+    pub placement: PlacementState,
     /// Where split routes stand.
     pub splits: RefCell<SplitTable>,
     /// Idle connections to upstreams.
@@ -127,7 +127,7 @@
             asks: RefCell::new(AskBudget::new(own_asks(&settings))),
             neighbours_asks: RefCell::new(AskBudget::new(neighbours_asks(&settings))),
             rates: RefCell::new(RateSender::new(settings.host.clone())),
-            placing: Placing::new(
+            placement: PlacementState::new(
                 socket,
                 settings.host.clone(),
                 AskBudget::new(schedulers_asks(&settings)),
@@ -234,7 +234,7 @@
         self.repeats.borrow_mut().set_allowed(settings.limits.repeats);
         self.asks.borrow_mut().set_allowed(own_asks(&settings));
         self.neighbours_asks.borrow_mut().set_allowed(neighbours_asks(&settings));
-        self.placing.asks.borrow_mut().set_allowed(schedulers_asks(&settings));
+        self.placement.asks.borrow_mut().set_allowed(schedulers_asks(&settings));
         held.limits = settings.limits;
         held.seeds = settings.seeds;
         drop(held);
@@ -244,7 +244,7 @@
     /// The process is awake: budgets save nothing up for the time in which it wasn't.
     pub fn note_awake(&self) {
         let now_ms = self.now_ms();
-        for asks in [&self.asks, &self.neighbours_asks, &self.placing.asks] {
+        for asks in [&self.asks, &self.neighbours_asks, &self.placement.asks] {
             asks.borrow_mut().note_awake(now_ms);
         }
     }
@@ -273,7 +273,7 @@
         self.prune_connections();
         self.asks.borrow_mut().retain(is_known);
         self.neighbours_asks.borrow_mut().retain(is_known);
-        self.placing.asks.borrow_mut().retain(is_known);
+        self.placement.asks.borrow_mut().retain(is_known);
         self.rates.borrow_mut().retain(now_ms, is_known);
         self.unread.borrow_mut().retain(is_known);
         self.unreadable.borrow_mut().retain(is_known);
--- a/crates/gateway/src/http1/mod.rs
+++ b/crates/gateway/src/http1/mod.rs
@@ -10,14 +10,14 @@
 //! It is strict where two readers could disagree: two lengths, a length beside chunks,
 //! bare line feeds and folded headers are refused.
 
-mod answer;
 mod body;
 mod head;
 mod request;
+mod response;
 mod write;
 
-pub use answer::{AnswerHead, read_answer};
 pub use body::{BodyReader, Framing, Progress};
 pub use head::{HeadError, HeadFields};
 pub use request::{RequestError, RequestHead, read_request};
+pub use response::{AnswerHead, read_answer};
 pub use write::{AnswerWriter, is_hop_by_hop, write_request};
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -7,8 +7,8 @@
 //!
 //! - [`http1`]: the framing of requests and answers, around the `httparse` library
 //! - [`ingress`]: callers' connections; [`serve`]: one request from arrival to answer
-//! - [`placing`]: places at upstreams, from whoever schedules a service
-//! - [`connection`], [`pool`], [`ask`]: upstreams' connections, and asking before sending
+//! - [`placement`]: places at upstreams, from whoever schedules a service
+//! - [`connection`], [`pool`], [`probe`]: upstreams' connections, and asking before sending
 //! - [`quarantine`]: requests that crash upstreams, seen and told
 //! - [`reading`], [`peers`], [`fleet_message`]: what is published, from the source or from peers, and
 //!   what else hosts tell each other
@@ -19,7 +19,6 @@
 //!
 //! Whoever embeds it hands over a [`source::Source`] and a [`dialect::Dialect`].
 
-pub mod ask;
 pub mod backpressure;
 pub mod connection;
 pub mod dialect;
@@ -31,8 +30,9 @@
 pub mod metrics;
 pub mod operator;
 pub mod peers;
-pub mod placing;
+pub mod placement;
 pub mod pool;
+pub mod probe;
 pub mod quarantine;
 pub mod reading;
 pub mod run;
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -12,7 +12,7 @@
 use crate::backpressure;
 use crate::event_log::LogEvent;
 use crate::host::{ACCEPT_PAUSE, Host, duration};
-use crate::placing;
+use crate::placement;
 use crate::quarantine;
 use codec::{CodecError, Datagram};
 use dispatch::scheduler::Asker;
@@ -152,7 +152,7 @@
                 }
             }
             Ok(Datagram::Placement(message)) => {
-                placing::take(&self.host, message, Asker::Peer(from));
+                placement::take(&self.host, message, Asker::Peer(from));
             }
             Err(e) => self.host.log.write(&LogEvent::PeerUnreadable {
                 from: from.to_string(),
@@ -174,7 +174,7 @@
                 self.host.log.write(&LogEvent::Fetched { peer, revision, is_whole });
             }
             Effect::PeersHeard(peers) => {
-                peers.iter().for_each(|peer| self.host.placing.forget_silence(peer));
+                peers.iter().for_each(|peer| self.host.placement.forget_silence(peer));
                 let (count, first) = (peers.len(), peers.first());
                 quarantine::note_peers(&self.host);
                 backpressure::note_peers(&self.host);
@@ -197,7 +197,7 @@
                 return;
             }
         };
-        self.host.placing.send_to_peers(&self.host.metrics, &datagram, to);
+        self.host.placement.send_to_peers(&self.host.metrics, &datagram, to);
     }
 
     fn act_later(
--- a/crates/gateway/src/placing.rs
+++ b/crates/gateway/src/placement.rs
@@ -3,7 +3,7 @@
 //! Who schedules, and what a scheduler decides, is [`dispatch::scheduler`]'s matter; this module
 //! carries the messages, waits for the answer, and asks upstreams for the schedulers of this
 //! host. A scheduler that says nothing in time is done without: its requests are placed by
-//! asking upstreams ([`crate::ask`]).
+//! asking upstreams ([`crate::probe`]).
 
 mod guard;
 mod scheduling;
@@ -46,7 +46,7 @@
 
 /// This host's part in scheduling, for others and for itself.
 #[derive(Debug)]
-pub struct Placing {
+pub struct PlacementState {
     socket: Rc<UdpSocket>,
     /// What this host schedules.
     pub schedulers: RefCell<SchedulerSet>,
@@ -80,10 +80,10 @@
     Unanswered,
 }
 
-impl Placing {
+impl PlacementState {
     /// Speaks through the peers' socket; `seed` sets this run's tickets apart from those of the last.
-    pub fn new(socket: Rc<UdpSocket>, host: HostId, asks: AskBudget, seed: u64) -> Placing {
-        Placing {
+    pub fn new(socket: Rc<UdpSocket>, host: HostId, asks: AskBudget, seed: u64) -> PlacementState {
+        PlacementState {
             socket,
             schedulers: RefCell::new(SchedulerSet::new(host)),
             asks: RefCell::new(asks),
@@ -140,9 +140,9 @@
     submission: impl FnOnce(Ticket, Cell) -> Submission,
 ) -> Placement {
     let Some(scheduler) = choose_scheduler(host, &cell) else { return Placement::Unanswered };
-    let ticket = host.placing.draw_ticket();
+    let ticket = host.placement.draw_ticket();
     let (replies, mut received) = mpsc::unbounded_channel();
-    host.placing.awaited.borrow_mut().insert(ticket, replies);
+    host.placement.awaited.borrow_mut().insert(ticket, replies);
     let held = PlacementGuard::new(host, ticket, &scheduler);
     let lends = host.rates.borrow_mut().lend(host.now_ms(), &cell, &scheduler.host);
     let submission = Submission { lends, ..submission(ticket, cell.clone()) };
@@ -151,15 +151,15 @@
     loop {
         match clock::timeout(longest, received.recv()).await {
             Ok(Some(reply)) => {
-                host.placing.directory.borrow_mut().note_heard(&scheduler.host);
+                host.placement.directory.borrow_mut().note_heard(&scheduler.host);
                 match reply {
                     SchedulerReply::Queued => {
-                        host.placing.note_wait(&cell.service, host.now_ms());
+                        host.placement.note_wait(&cell.service, host.now_ms());
                         longest = NEXT_REPLY;
                     }
                     SchedulerReply::Placed(place) => return Placement::Placed(held, place),
                     SchedulerReply::Refused(cause) => {
-                        host.placing.note_wait(&cell.service, host.now_ms());
+                        host.placement.note_wait(&cell.service, host.now_ms());
                         held.forget();
                         return Placement::Refused(cause);
                     }
@@ -176,25 +176,27 @@
 fn choose_scheduler(host: &Host, cell: &Cell) -> Option<Member> {
     let members = host.members();
     let all = members.others().chain(std::iter::once(members.own()));
-    let directory = host.placing.directory.borrow();
+    let directory = host.placement.directory.borrow();
     directory.choose(host.now_ms(), cell, all).cloned()
 }
 
 fn note_silent(host: &Host, scheduler: &HostId, cell: &Cell) {
     let now_ms = host.now_ms();
-    let is_passed_over = host.placing.directory.borrow_mut().note_silent(now_ms, scheduler);
+    let is_passed_over = host.placement.directory.borrow_mut().note_silent(now_ms, scheduler);
     host.log.write(&LogEvent::SchedulerSilent { scheduler, cell, is_passed_over });
 }
 
 /// Takes a peer's message on a place.
 pub fn take(host: &Rc<Host>, message: PlacementMessage, asker: Asker) {
     match message {
-        PlacementMessage::Queued { ticket } => host.placing.deliver(ticket, SchedulerReply::Queued),
+        PlacementMessage::Queued { ticket } => {
+            host.placement.deliver(ticket, SchedulerReply::Queued)
+        }
         PlacementMessage::Placed { ticket, place } => {
-            host.placing.deliver(ticket, SchedulerReply::Placed(place));
+            host.placement.deliver(ticket, SchedulerReply::Placed(place));
         }
         PlacementMessage::Refused { ticket, cause } => {
-            host.placing.deliver(ticket, SchedulerReply::Refused(cause));
+            host.placement.deliver(ticket, SchedulerReply::Refused(cause));
         }
         // Its few upstreams would be taken for all; the asker asks by itself.
         PlacementMessage::Submit(Submission { ticket, .. }) if host.is_partial() => {
--- a/crates/gateway/src/placing/guard.rs
+++ b/crates/gateway/src/placement/guard.rs
@@ -74,7 +74,7 @@
 
 impl Drop for PlacementGuard {
     fn drop(&mut self) {
-        self.host.placing.awaited.borrow_mut().remove(&self.ticket);
+        self.host.placement.awaited.borrow_mut().remove(&self.ticket);
         if !self.is_over {
             self.tell(PlacementMessage::Withdrawn { ticket: self.ticket, how: self.withdrawal });
         }
--- a/crates/gateway/src/placing/scheduling.rs
+++ b/crates/gateway/src/placement/scheduling.rs
@@ -1,8 +1,8 @@
 //! What this host schedules for others and for itself.
 
 use super::tell;
-use crate::ask;
 use crate::host::Host;
+use crate::probe;
 use dispatch::UpstreamSet;
 use dispatch::scheduler::{Asker, Cell, Directory, Effect, PlacementMessage, SchedulerSet};
 use domain::Millis;
@@ -28,7 +28,7 @@
         let all = members.others().chain(std::iter::once(members.own()));
         Directory::first(cell, all).is_some_and(|first| first.host == members.own().host)
     };
-    host.placing.schedulers.borrow_mut().set_first(is_first);
+    host.placement.schedulers.borrow_mut().set_first(is_first);
 }
 
 /// Has the schedulers decide, and carries out what they decided.
@@ -36,14 +36,14 @@
     host: &Rc<Host>,
     decide: impl FnOnce(&mut SchedulerSet, Millis, &mut UpstreamSet, &mut Pcg64Mcg) -> Vec<Effect>,
 ) {
-    host.placing.schedulers.borrow_mut().set_fleet(host.rate_fleet());
+    host.placement.schedulers.borrow_mut().set_fleet(host.rate_fleet());
     let effects = decide(
-        &mut host.placing.schedulers.borrow_mut(),
+        &mut host.placement.schedulers.borrow_mut(),
         host.now_ms(),
         &mut host.upstreams.borrow_mut(),
         &mut host.rng.borrow_mut(),
     );
-    if host.placing.schedulers.borrow().has_unordered() {
+    if host.placement.schedulers.borrow().has_unordered() {
         note_order(host);
     }
     carry_out(host, effects);
@@ -52,13 +52,13 @@
 /// Looks at what waits as often as it has to be; never ends.
 pub async fn run(host: Rc<Host>) {
     loop {
-        let next_ms = host.placing.schedulers.borrow().next_turn_ms(host.now_ms());
+        let next_ms = host.placement.schedulers.borrow().next_turn_ms(host.now_ms());
         match next_ms {
             Some(next_ms) => {
                 host.clock.sleep_until(next_ms).await;
                 turn(&host);
             }
-            None => host.placing.is_waiting.notified().await,
+            None => host.placement.is_waiting.notified().await,
         }
     }
 }
@@ -70,14 +70,14 @@
             Effect::Ask(upstream) => {
                 let host = Rc::clone(host);
                 tokio::task::spawn_local(async move {
-                    if ask::refresh(&host, &upstream).await {
+                    if probe::refresh(&host, &upstream).await {
                         turn(&host);
                     }
                 });
             }
         }
     }
-    if host.placing.schedulers.borrow().waiting() > 0 {
-        host.placing.is_waiting.notify_one();
+    if host.placement.schedulers.borrow().waiting() > 0 {
+        host.placement.is_waiting.notify_one();
     }
 }
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/probe.rs
@@ -7,17 +7,17 @@
 //! goes on in the background and is learned from.
 
 mod connect;
-mod question;
+mod health_check;
 
 pub use connect::{connect, is_trusted};
-pub use question::{note_report, read_load, refresh};
+pub use health_check::{note_report, read_load, refresh};
 
 use crate::connection::Connection;
 use crate::host::Host;
 use clock::Moment;
 use dispatch::{ASKED_AT_ONCE, AT_ONCE, Candidate, GOOD_ENOUGH, ROUNDS, Reach, UNWELL_COST};
 use domain::{ServiceName, UpstreamId};
-use question::{CheckBudget, ask_within_limit, may_ask};
+use health_check::{CheckBudget, ask_within_limit, may_ask};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
--- a/crates/gateway/src/ask/connect.rs
+++ b/crates/gateway/src/probe/connect.rs
@@ -1,6 +1,6 @@
 //! Connections to upstreams that were chosen without being asked.
 
-use super::question::{
+use super::health_check::{
     CheckBudget, exchange, health_path, may_ask, note_failure, note_reply, open,
 };
 use crate::connection::Connection;
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -12,7 +12,7 @@
 use crate::metrics::Metrics;
 use crate::operator::{self, Audience};
 use crate::peers::Peers;
-use crate::placing;
+use crate::placement;
 use crate::quarantine;
 use crate::reading::Readings;
 use crate::settings::Settings;
@@ -196,7 +196,7 @@
         spawn_local(Rc::clone(&peers).give(listeners.pictures));
         spawn_local(Rc::clone(&peers).greet());
         spawn_local(readings.run());
-        spawn_local(placing::run(Rc::clone(&host)));
+        spawn_local(placement::run(Rc::clone(&host)));
         spawn_local(chores(Rc::clone(&host), Rc::clone(&peers), reload, hangup));
         let flushing = Rc::clone(&host);
         spawn_local(async move { flushing.log.run().await });
@@ -233,7 +233,7 @@
     host.log.write(&LogEvent::Ready { is_ready: false, reason: "stopping" });
     host.stopping.send_replace(true);
     peers.act(Gossip::leave);
-    host.placing.schedulers.borrow_mut().leave();
+    host.placement.schedulers.borrow_mut().leave();
     clock::sleep(NOTICE.min(duration(limit_ms))).await;
     host.closing.send_replace(true);
     let is_busy = || host.open_requests.get() > 0 || host.open_sessions.get() > 0;
@@ -271,8 +271,8 @@
             }
         }
         peers.act(|gossip| gossip.settle(now_ms));
-        placing::note_order(&host);
-        placing::turn(&host);
+        placement::note_order(&host);
+        placement::turn(&host);
         quarantine::turn(&host);
         backpressure::turn(&host);
         host.prune_connections();
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,12 +1,12 @@
 //! One request, from its arrival to its final answer.
 
 mod admission;
-mod finding;
+mod attempt;
+mod attempt_end;
+mod attempt_guard;
 mod fingerprint;
-mod in_progress;
 mod routing;
-mod sending;
-mod settling;
+mod selection;
 
 pub use fingerprint::fingerprint;
 
--- a/crates/gateway/src/serve/admission.rs
+++ b/crates/gateway/src/serve/admission.rs
@@ -1,7 +1,7 @@
 //! Whether a request may leave, by what is held against it, and what its end says of it.
 
+use super::attempt::SendingCounts;
 use super::fingerprint::fingerprint;
-use super::sending::SendingCounts;
 use super::{Request, Serving};
 use crate::quarantine;
 use dispatch::attempts::{self, Cause, End, Refusal};
--- a/crates/gateway/src/serve/sending.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -1,14 +1,14 @@
 //! The sendings of a request, until it has its final answer.
 
-use super::finding::Found;
-use super::in_progress::InProgress;
-use super::settling::{Ended, KeptFailure, failure_of};
+use super::attempt_end::{Ended, KeptFailure, failure_of};
+use super::attempt_guard::AttemptGuard;
+use super::selection::Found;
 use super::{Reply, Serving};
-use crate::ask;
 use crate::backpressure;
 use crate::connection::{Answer, Connection, ExchangeError, Expected};
 use crate::event_log::{AnswerTo, LogEvent};
 use crate::http1::write_request;
+use crate::probe;
 use crate::quarantine::{self, BrokenOff};
 use dispatch::attempts::{Answered, Cause, End, Refusal};
 use dispatch::backpressure::Backpressure;
@@ -21,7 +21,7 @@
     found: Found,
     connection: Connection,
     bytes: Vec<u8>,
-    guard: InProgress,
+    guard: AttemptGuard,
     sent_ms: Millis,
     /// The only one of its kind in the fleet.
     is_trial: bool,
@@ -120,7 +120,7 @@
         if found.held.is_none() {
             self.host.note_sent_rated(&found.upstream);
         }
-        let guard = InProgress::begin(&self.host, &found.upstream, found.held.take());
+        let guard = AttemptGuard::begin(&self.host, &found.upstream, found.held.take());
         let bytes = self.encode(&found.upstream, now_ms);
         Ok(Sending { found, connection, bytes, guard, sent_ms: now_ms, is_trial })
     }
@@ -185,7 +185,7 @@
         if let Some(fields) = fields {
             self.host.note_unread(&upstream, fields, AnswerTo::Request);
         }
-        let report = fields.and_then(|fields| ask::read_load(&self.host, fields));
+        let report = fields.and_then(|fields| probe::read_load(&self.host, fields));
         let backpressure = match (&answer, end) {
             (Some(answer), End::Answered(answered)) => {
                 backpressure::read(&self.host, &upstream, &answer.head, answered)
--- a/crates/gateway/src/serve/settling.rs
+++ b/crates/gateway/src/serve/attempt_end.rs
@@ -1,6 +1,6 @@
 //! What follows on a sending that came to its end.
 
-use super::sending::SendingCounts;
+use super::attempt::SendingCounts;
 use super::{Reply, Serving};
 use crate::connection::Answer;
 use crate::event_log::LogEvent;
--- a/crates/gateway/src/serve/in_progress.rs
+++ b/crates/gateway/src/serve/attempt_guard.rs
@@ -1,9 +1,9 @@
 //! What is known of an upstream follows each sending, also one that is dropped midway.
 
-use crate::ask;
 use crate::backpressure;
 use crate::host::Host;
-use crate::placing::PlacementGuard;
+use crate::placement::PlacementGuard;
+use crate::probe;
 use dispatch::SendFailure;
 use dispatch::backpressure::Backpressure;
 use dispatch::scheduler::Outcome;
@@ -19,7 +19,7 @@
 ///
 /// What is learned goes to the scheduler that placed it, and to this host's own knowledge
 /// unless that is the same.
-pub(super) struct InProgress {
+pub(super) struct AttemptGuard {
     host: Rc<Host>,
     upstream: UpstreamId,
     /// What was published of it then; none if it was gone already.
@@ -31,19 +31,19 @@
     is_ended: bool,
 }
 
-impl InProgress {
+impl AttemptGuard {
     /// A request leaves for an upstream.
     pub(super) fn begin(
         host: &Rc<Host>,
         upstream: &UpstreamId,
         mut held: Option<PlacementGuard>,
-    ) -> InProgress {
+    ) -> AttemptGuard {
         held.iter_mut().for_each(PlacementGuard::note_sent);
         let begun_ms = host.now_ms();
         let entry = host.upstreams.borrow().get(upstream).map(|known| Arc::clone(&known.entry));
         let run = entry.as_ref().map(|entry| entry.run).unwrap_or_default();
         let (host, upstream) = (Rc::clone(host), upstream.clone());
-        let sending = InProgress { host, upstream, entry, run, begun_ms, held, is_ended: false };
+        let sending = AttemptGuard { host, upstream, entry, run, begun_ms, held, is_ended: false };
         match sending.host.upstreams.borrow_mut().get_mut(&sending.upstream) {
             Some(known) if sending.is_noted_here() => known.note_sent(begun_ms),
             _ => {}
@@ -92,7 +92,7 @@
     fn note_end(&self, outcome: Outcome) {
         // Before the end: the load that an answer tells counts the request that is answered.
         if let Some(report) = outcome.report {
-            ask::note_report(&self.host, (&self.upstream, self.run), report);
+            probe::note_report(&self.host, (&self.upstream, self.run), report);
         }
         let now_ms = self.host.now_ms();
         let mut upstreams = self.host.upstreams.borrow_mut();
@@ -128,7 +128,7 @@
     }
 }
 
-impl Drop for InProgress {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
         if !self.is_ended {
             self.withdraw();
--- a/crates/gateway/src/serve/finding.rs
+++ b/crates/gateway/src/serve/selection.rs
@@ -4,12 +4,12 @@
 //! it, and where none answers, this host asks upstreams by itself and takes the best offer.
 
 use super::Serving;
-use super::sending::SendingCounts;
-use crate::ask::{self, Chosen};
+use super::attempt::SendingCounts;
 use crate::connection::Connection;
 use crate::event_log::{ChosenBy, LogEvent};
 use crate::host::duration;
-use crate::placing::{self, Placement, PlacementGuard};
+use crate::placement::{self, Placement, PlacementGuard};
+use crate::probe::{self, Chosen};
 use dispatch::attempts::{Cause, Refusal};
 use dispatch::scheduler::{Cell, Place, RefusalCause, Submission, Ticket};
 use dispatch::{DeadlineCheck, Offer, Verdict};
@@ -63,14 +63,14 @@
             let Some(mut found) = found else { break };
             let connection = match found.connection.take() {
                 Some(connection) => Some(connection),
-                None => ask::connect(&self.host, &found.upstream, self.route().repeat).await,
+                None => probe::connect(&self.host, &found.upstream, self.route().repeat).await,
             };
             if self.host.now_ms().since(begun_ms) > STALE_CHOICE_MS {
                 self.check_caller().await;
             }
             match connection {
                 Some(connection) if self.may_send(&found) => {
-                    if ask::is_trusted(&connection, self.route().repeat) {
+                    if probe::is_trusted(&connection, self.route().repeat) {
                         return Ok((found, connection));
                     }
                     self.host.pool.borrow_mut().put(&found.upstream, connection);
@@ -135,10 +135,10 @@
     /// In calm times a first sending needs no scheduler: its way would be the longest part.
     /// Without it a quiet day was worth 0.881 in place of 0.907 where bytes between zones are dear.
     async fn idle_neighbour(&self, begun_ms: Millis, counts: &SendingCounts) -> Option<Found> {
-        if counts.sent > 0 || self.host.placing.is_busy(&self.service, begun_ms) {
+        if counts.sent > 0 || self.host.placement.is_busy(&self.service, begun_ms) {
             return None;
         }
-        let chosen = ask::choose_idle_neighbour(&self.host, &self.service).await?;
+        let chosen = probe::choose_idle_neighbour(&self.host, &self.service).await?;
         Some(self.chosen(chosen, begun_ms))
     }
 
@@ -154,13 +154,13 @@
             Cell::of(&self.service, &zone, &upstreams, &mut rng)
         };
         let asked_zone = cell.zone.clone();
-        let placement = placing::place(&self.host, cell, self.submission(&zone, counts)).await;
+        let placement = placement::place(&self.host, cell, self.submission(&zone, counts)).await;
         // Its zone has no room, or none that can be reached.
         let has_no_room = matches!(placement, Placement::Refused(_));
         match asked_zone.and_then(|asked| self.other_zone(&asked)) {
             Some(other) if has_no_room => {
                 let cell = Cell { service: self.service.clone(), zone: Some(other) };
-                placing::place(&self.host, cell, self.submission(&zone, counts)).await
+                placement::place(&self.host, cell, self.submission(&zone, counts)).await
             }
             _ => placement,
         }
@@ -224,7 +224,7 @@
         counts: &SendingCounts,
     ) -> Result<Option<Found>, Refusal> {
         loop {
-            let chosen = ask::choose(&self.host, &self.service, &counts.tried).await;
+            let chosen = probe::choose(&self.host, &self.service, &counts.tried).await;
             let now_ms = self.host.now_ms();
             self.check_time(now_ms, counts)?;
             let Some(chosen) = chosen else { return Ok(None) };
