--- a/crates/gateway/src/backpressure.rs
+++ b/crates/gateway/src/backpressure.rs
@@ -6,7 +6,7 @@
 use crate::event_log::LogEvent;
 use crate::fleet_message;
 use crate::host::Host;
-use crate::http1::{AnswerHead, HeadFields};
+use crate::http1::{HeadFields, ResponseHead};
 use crate::peers::codec::Datagram;
 use dispatch::attempts::{self, Answered};
 use dispatch::backpressure::{
@@ -41,7 +41,7 @@
 pub fn read(
     host: &Host,
     upstream: &UpstreamId,
-    head: &AnswerHead,
+    head: &ResponseHead,
     answered: Answered,
 ) -> Backpressure {
     let is_its_own = answered.is_sealed || answered.not_run || attempts::is_final(answered);
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -3,7 +3,7 @@
 //! A connection serves one exchange at a time. Whether a byte of the request left is
 //! known at its end, since only that, or the upstream's word, proves that it did not run.
 
-use crate::http1::{AnswerHead, BodyReader, Framing, HeadError, Progress, read_answer};
+use crate::http1::{BodyReader, Framing, HeadError, Progress, ResponseHead, read_response};
 use clock::Moment;
 use domain::Millis;
 use published::RunStart;
@@ -47,9 +47,9 @@
 
 /// A whole answer.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     /// Its head.
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     /// Its body.
     pub body: Vec<u8>,
 }
@@ -153,10 +153,10 @@
         &mut self,
         request: &[u8],
         expected: Expected<'_>,
-    ) -> Result<Answer, ExchangeError> {
+    ) -> Result<Response, ExchangeError> {
         self.is_reusable = false;
         let mut left = request;
-        let mut reader = AnswerReader::new(expected);
+        let mut reader = ResponseReader::new(expected);
         let mut has_heard = false;
         loop {
             while !left.is_empty() {
@@ -215,9 +215,9 @@
 
     fn at_end(
         &mut self,
-        reader: AnswerReader<'_>,
+        reader: ResponseReader<'_>,
         was_sent: bool,
-    ) -> Result<Answer, ExchangeError> {
+    ) -> Result<Response, ExchangeError> {
         match reader.at_end() {
             Some(answer) => Ok(answer),
             None => Err(broken(was_sent)),
@@ -226,7 +226,7 @@
 
     /// An answer that came before the request was out ends the connection: the upstream may
     /// read on and must not take the next request for the rest of this one.
-    fn finish(&mut self, answer: &Answer, is_all_sent: bool) {
+    fn finish(&mut self, answer: &Response, is_all_sent: bool) {
         self.used = Moment::now();
         self.idle = stated_idle(answer).unwrap_or(UNSTATED_IDLE);
         self.is_reusable = answer.head.keeps_alive && is_all_sent && self.buffer.is_empty();
@@ -238,7 +238,7 @@
     if was_sent { ExchangeError::Broken } else { ExchangeError::NotSent }
 }
 
-fn stated_idle(answer: &Answer) -> Option<Duration> {
+fn stated_idle(answer: &Response) -> Option<Duration> {
     let value = answer.head.fields.get("keep-alive")?;
     let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
     let seconds: f64 = seconds.trim().parse().ok()?;
@@ -247,22 +247,22 @@
 
 /// Cuts the expected answer out of what the connection brings.
 #[derive(Debug)]
-struct AnswerReader<'a> {
+struct ResponseReader<'a> {
     expected: Expected<'a>,
-    head: Option<AnswerHead>,
+    head: Option<ResponseHead>,
     body: Option<BodyReader>,
     strays: u32,
 }
 
-impl<'a> AnswerReader<'a> {
-    fn new(expected: Expected<'a>) -> AnswerReader<'a> {
-        AnswerReader { expected, head: None, body: None, strays: 0 }
+impl<'a> ResponseReader<'a> {
+    fn new(expected: Expected<'a>) -> ResponseReader<'a> {
+        ResponseReader { expected, head: None, body: None, strays: 0 }
     }
 
-    fn take(&mut self, buffer: &mut Vec<u8>) -> Result<Option<Answer>, ExchangeError> {
+    fn take(&mut self, buffer: &mut Vec<u8>) -> Result<Option<Response>, ExchangeError> {
         loop {
             if self.head.is_none() {
-                let head = read_answer(buffer, self.expected.has_body).map_err(garbled)?;
+                let head = read_response(buffer, self.expected.has_body).map_err(garbled)?;
                 let Some(head) = head else { return Ok(None) };
                 self.body = Some(BodyReader::new(head.framing, MAX_ANSWER_BYTES));
                 self.head = Some(head);
@@ -281,21 +281,21 @@
                     }
                 }
                 (Some(head), Some(body)) => {
-                    return Ok(Some(Answer { head, body: body.into_body() }));
+                    return Ok(Some(Response { head, body: body.into_body() }));
                 }
                 _ => return Ok(None),
             }
         }
     }
 
-    fn at_end(mut self) -> Option<Answer> {
+    fn at_end(mut self) -> Option<Response> {
         let (head, body) = (self.head.take()?, self.body.take()?);
         let is_whole = body.framing() == Framing::UntilClose && !self.is_stray(&head);
-        is_whole.then(|| Answer { head, body: body.into_body() })
+        is_whole.then(|| Response { head, body: body.into_body() })
     }
 
     /// An answer that names another request, or none where one is expected by name.
-    fn is_stray(&self, head: &AnswerHead) -> bool {
+    fn is_stray(&self, head: &ResponseHead) -> bool {
         match self.expected.id {
             Some((header, id)) => head.fields.get(header).is_some_and(|echo| echo != id),
             None => false,
--- a/crates/gateway/src/http1/mod.rs
+++ b/crates/gateway/src/http1/mod.rs
@@ -19,5 +19,5 @@
 pub use body::{BodyReader, Framing, Progress};
 pub use head::{HeadError, HeadFields};
 pub use request::{RequestError, RequestHead, read_request};
-pub use response::{AnswerHead, read_answer};
-pub use write::{AnswerWriter, is_hop_by_hop, write_request};
+pub use response::{ResponseHead, read_response};
+pub use write::{ResponseWriter, is_hop_by_hop, write_request};
--- a/crates/gateway/src/http1/response.rs
+++ b/crates/gateway/src/http1/response.rs
@@ -8,7 +8,7 @@
 
 /// Head of an answer.
 #[derive(Debug, Clone)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// HTTP status.
     pub status: u16,
     /// Headers.
@@ -20,7 +20,10 @@
 }
 
 /// Takes a whole head off the front of `buffer`, past interim ones; none if it isn't whole yet.
-pub fn read_answer(buffer: &mut Vec<u8>, has_body: bool) -> Result<Option<AnswerHead>, HeadError> {
+pub fn read_response(
+    buffer: &mut Vec<u8>,
+    has_body: bool,
+) -> Result<Option<ResponseHead>, HeadError> {
     loop {
         let Some(end) = head_end(buffer) else {
             let looks_right = buffer.iter().zip(b"HTTP/1.").all(|(byte, wanted)| byte == wanted);
@@ -37,7 +40,7 @@
     }
 }
 
-fn parse(bytes: &[u8], has_body: bool) -> Result<AnswerHead, HeadError> {
+fn parse(bytes: &[u8], has_body: bool) -> Result<ResponseHead, HeadError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
     match parsed.parse(bytes) {
@@ -56,5 +59,5 @@
     let keeps_alive = parsed.version == Some(1)
         && !fields.lists("connection", "close")
         && framing != Framing::UntilClose;
-    Ok(AnswerHead { status, fields, framing, keeps_alive })
+    Ok(ResponseHead { status, fields, framing, keeps_alive })
 }
--- a/crates/gateway/src/http1/write.rs
+++ b/crates/gateway/src/http1/write.rs
@@ -51,20 +51,20 @@
 
 /// Writes a whole answer.
 #[derive(Debug)]
-pub struct AnswerWriter {
+pub struct ResponseWriter {
     out: Vec<u8>,
 }
 
-impl AnswerWriter {
+impl ResponseWriter {
     /// Begins with the status line.
-    pub fn new(status: u16) -> AnswerWriter {
+    pub fn new(status: u16) -> ResponseWriter {
         let mut out = Vec::with_capacity(1024);
         out.extend_from_slice(format!("HTTP/1.1 {status} {}\r\n", reason(status)).as_bytes());
-        AnswerWriter { out }
+        ResponseWriter { out }
     }
 
     /// Adds a header.
-    pub fn field(mut self, name: &str, value: &[u8]) -> AnswerWriter {
+    pub fn field(mut self, name: &str, value: &[u8]) -> ResponseWriter {
         write_field(&mut self.out, name, value);
         self
     }
--- a/crates/gateway/src/ingress/render.rs
+++ b/crates/gateway/src/ingress/render.rs
@@ -1,7 +1,7 @@
 //! Answers as bytes.
 
 use crate::host::Host;
-use crate::http1::{AnswerWriter, is_hop_by_hop};
+use crate::http1::{ResponseWriter, is_hop_by_hop};
 use crate::serve::{Reply, Request};
 use dispatch::attempts::Refusal;
 use rand::RngExt;
@@ -13,10 +13,10 @@
 pub(super) fn render(host: &Host, request: &Request, reply: &Reply, closes: bool) -> Vec<u8> {
     match reply {
         Reply::Refused(refusal) => render_refusal(host, Some(request), *refusal, closes),
-        Reply::Answer(answer) => {
+        Reply::Response(answer) => {
             let status = answer.head.status;
             let fields = &answer.head.fields;
-            let mut writer = AnswerWriter::new(status);
+            let mut writer = ResponseWriter::new(status);
             for (name, value) in fields.iter().filter(|(name, _)| !is_hop_by_hop(name, fields)) {
                 writer = writer.field(name, value);
             }
@@ -37,7 +37,7 @@
 ) -> Vec<u8> {
     let status = refusal.cause.status();
     let mut writer =
-        AnswerWriter::new(status).field(host.dialect.cause, refusal.cause.as_str().as_bytes());
+        ResponseWriter::new(status).field(host.dialect.cause, refusal.cause.as_str().as_bytes());
     let id = request.and_then(|request| request.head.fields.get(host.dialect.request_id));
     if let Some(id) = id {
         writer = writer.field(host.dialect.request_id, id.as_bytes());
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -1,7 +1,7 @@
 //! Readiness for the platform, and metrics and state for operators.
 
 use crate::host::{ACCEPT_PAUSE, Host};
-use crate::http1::{AnswerWriter, RequestHead, read_request};
+use crate::http1::{RequestHead, ResponseWriter, read_request};
 use crate::metrics::StateFigures;
 use crate::quarantine;
 use dispatch::Warmth;
@@ -139,7 +139,7 @@
             None => (404, "text/plain", "nothing here\n".to_owned()),
         },
     };
-    let writer = AnswerWriter::new(status).field("content-type", kind.as_bytes());
+    let writer = ResponseWriter::new(status).field("content-type", kind.as_bytes());
     writer.body(status, body.as_bytes(), closes)
 }
 
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 enum Heard {
     /// It answered on this connection.
-    Answer { connection: Connection, is_well: bool },
+    Response { connection: Connection, is_well: bool },
     /// No question was left: what is remembered has to do.
     NotAsked,
     /// It can't be reached, or is another one.
@@ -185,7 +185,7 @@
     while open > 0 {
         let Ok(Some(reply)) = clock::timeout_at(until, asked.recv()).await else { break };
         open -= 1;
-        answered += usize::from(matches!(reply.heard, Heard::Answer { .. }));
+        answered += usize::from(matches!(reply.heard, Heard::Response { .. }));
         best = better(host, best, weigh(host, reply));
         if best.as_ref().is_some_and(|best| best.cost <= AT_ONCE) {
             break;
@@ -202,14 +202,14 @@
 }
 
 fn keep(host: &Host, asked: Asked) {
-    if let Heard::Answer { connection, .. } = asked.heard {
+    if let Heard::Response { connection, .. } = asked.heard {
         host.pool.borrow_mut().put(&asked.upstream, connection);
     }
 }
 
 fn weigh(host: &Host, asked: Asked) -> Option<Chosen> {
     let (connection, is_well) = match asked.heard {
-        Heard::Answer { connection, is_well } => (Some(connection), is_well),
+        Heard::Response { connection, is_well } => (Some(connection), is_well),
         Heard::NotAsked => (None, true),
         Heard::Failure => return None,
     };
@@ -237,7 +237,7 @@
         return Asked { upstream, heard: Heard::NotAsked };
     }
     let heard = match ask_within_limit(host, service, &upstream).await {
-        Some((connection, is_well)) => Heard::Answer { connection, is_well },
+        Some((connection, is_well)) => Heard::Response { connection, is_well },
         None => Heard::Failure,
     };
     Asked { upstream, heard }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -10,7 +10,7 @@
 
 pub use fingerprint::fingerprint;
 
-use crate::connection::Answer;
+use crate::connection::Response;
 use crate::event_log::LogEvent;
 use crate::host::Host;
 use crate::http1::RequestHead;
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub enum Reply {
     /// An upstream's.
-    Answer(Answer),
+    Response(Response),
     /// The host's own.
     Refused(Refusal),
 }
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -5,7 +5,7 @@
 use super::selection::Found;
 use super::{Reply, Serving};
 use crate::backpressure;
-use crate::connection::{Answer, Connection, ExchangeError, Expected};
+use crate::connection::{Connection, ExchangeError, Expected, Response};
 use crate::event_log::{AnswerTo, LogEvent};
 use crate::http1::write_request;
 use crate::probe;
@@ -212,7 +212,7 @@
         Ended { upstream, end, answer, sent_ms, has_crashed, is_trial }
     }
 
-    fn answered(&self, answer: &Answer) -> Answered {
+    fn answered(&self, answer: &Response) -> Answered {
         let fields = &answer.head.fields;
         let dialect = &self.host.dialect;
         let status = answer.head.status;
--- a/crates/gateway/src/serve/attempt_end.rs
+++ b/crates/gateway/src/serve/attempt_end.rs
@@ -2,7 +2,7 @@
 
 use super::attempt::SendingCounts;
 use super::{Reply, Serving};
-use crate::connection::Answer;
+use crate::connection::Response;
 use crate::event_log::LogEvent;
 use crate::host::duration;
 use dispatch::SendFailure;
@@ -13,7 +13,7 @@
 pub(super) struct Ended {
     pub(super) upstream: UpstreamId,
     pub(super) end: End,
-    pub(super) answer: Option<Answer>,
+    pub(super) answer: Option<Response>,
     pub(super) sent_ms: Millis,
     /// The upstream crashed under it.
     pub(super) has_crashed: bool,
@@ -23,7 +23,7 @@
 /// An upstream's own failure, kept while the request is sent once more.
 pub(super) struct KeptFailure {
     pub(super) upstream: UpstreamId,
-    pub(super) answer: Answer,
+    pub(super) answer: Response,
 }
 
 impl Serving {
@@ -76,7 +76,7 @@
     pub(super) fn deliver(
         &self,
         upstream: &UpstreamId,
-        answer: Answer,
+        answer: Response,
         counts: &SendingCounts,
     ) -> Reply {
         let after_ms = self.host.now_ms().since(self.request.arrived_ms);
@@ -89,7 +89,7 @@
             objective_ms: self.route().objective_ms,
             sendings: counts.sent,
         });
-        Reply::Answer(answer)
+        Reply::Response(answer)
     }
 
     fn note_failure(&self, ended: &Ended, now_ms: Millis) {
--- a/crates/gateway/tests/http1.rs
+++ b/crates/gateway/tests/http1.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used)]
 
 use gateway::http1::{
-    BodyReader, Framing, HeadError, Progress, RequestError, read_answer, read_request,
+    BodyReader, Framing, HeadError, Progress, RequestError, read_request, read_response,
     write_request,
 };
 use rstest::rstest;
@@ -162,7 +162,7 @@
     #[case] framing: Framing,
     #[case] keeps: bool,
 ) {
-    let head = read_answer(&mut text.as_bytes().to_vec(), has_body).unwrap().unwrap();
+    let head = read_response(&mut text.as_bytes().to_vec(), has_body).unwrap().unwrap();
     assert_eq!((head.framing, head.keeps_alive), (framing, keeps));
 }
 
@@ -171,7 +171,7 @@
 #[case::beginning_of_none("HTTQ")]
 #[case::two_lengths("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n")]
 fn answers_that_are_none(#[case] text: &str) {
-    assert!(read_answer(&mut text.as_bytes().to_vec(), true).is_err());
+    assert!(read_response(&mut text.as_bytes().to_vec(), true).is_err());
 }
 
 #[test]
--- a/crates/gateway/tests/support/caller.rs
+++ b/crates/gateway/tests/support/caller.rs
@@ -1,7 +1,7 @@
 //! A caller's connection.
 
 use super::LONG;
-use gateway::http1::{BodyReader, Progress, read_answer};
+use gateway::http1::{BodyReader, Progress, read_response};
 use std::net::{Ipv4Addr, SocketAddr};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpSocket, TcpStream};
@@ -65,7 +65,7 @@
 
     async fn read(&mut self) -> Option<Got> {
         let head = loop {
-            match read_answer(&mut self.buffer, true).expect("no answer in the protocol") {
+            match read_response(&mut self.buffer, true).expect("no answer in the protocol") {
                 Some(head) => break head,
                 None => self.fill().await?,
             }
