--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -3,7 +3,7 @@
 //! A connection serves one exchange at a time. Whether a byte of the request left is
 //! known at its end, since only that, or the upstream's word, proves that it did not run.
 
-use crate::http1::{BodyReader, Framing, HeadError, Progress, ResponseHead, read_response};
+use crate::http1::{BodyProgress, BodyReader, Framing, HeadError, ResponseHead, read_response};
 use clock::Moment;
 use domain::Millis;
 use published::RunStart;
@@ -40,9 +40,9 @@
     /// Something of the request left, and the connection broke.
     Broken,
     /// Something of the request left, and the other side said nothing for too long.
-    Silent,
+    TimedOut,
     /// The answer is no answer in the protocol.
-    Garbled,
+    Malformed,
 }
 
 /// A whole answer.
@@ -62,17 +62,17 @@
     /// Header of a request's id, and the id; answers to others are skipped.
     pub id: Option<(&'a str, &'a str)>,
     /// How long the other side may say nothing; none where somebody else looks at the time.
-    pub silence: Option<Silence>,
+    pub read_timeouts: Option<ReadTimeouts>,
 }
 
 /// How long the other side of a connection may say nothing. A long answer over a narrow link
 /// is not silent.
 #[derive(Debug, Clone, Copy)]
-pub struct Silence {
+pub struct ReadTimeouts {
     /// Before the first byte.
-    pub first: Duration,
+    pub first_byte: Duration,
     /// Between two bytes.
-    pub next: Duration,
+    pub between_bytes: Duration,
 }
 
 /// A connection that is open.
@@ -171,7 +171,7 @@
                 Ok(Some(0)) => return self.at_end(reader, left.len() < request.len()),
                 Ok(Some(_)) => {
                     has_heard = true;
-                    if let Some(answer) = reader.take(&mut self.buffer)? {
+                    if let Some(answer) = reader.read_from(&mut self.buffer)? {
                         self.finish(&answer, left.is_empty());
                         return Ok(answer);
                     }
@@ -184,17 +184,17 @@
                 true => tokio::io::Interest::READABLE,
                 false => tokio::io::Interest::READABLE | tokio::io::Interest::WRITABLE,
             };
-            let ready = match expected.silence {
+            let ready = match expected.read_timeouts {
                 None => self.stream.ready(interest).await,
-                Some(Silence { first, next }) => {
-                    let longest = if has_heard { next } else { first };
+                Some(ReadTimeouts { first_byte, between_bytes }) => {
+                    let longest = if has_heard { between_bytes } else { first_byte };
                     let ready = clock::timeout(longest, self.stream.ready(interest)).await;
                     ready.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()))
                 }
             };
             let was_sent = left.len() < request.len();
             ready.map_err(|e| match e.kind() {
-                ErrorKind::TimedOut if was_sent => ExchangeError::Silent,
+                ErrorKind::TimedOut if was_sent => ExchangeError::TimedOut,
                 _ => broken(was_sent),
             })?;
         }
@@ -259,25 +259,25 @@
         ResponseReader { expected, head: None, body: None, strays: 0 }
     }
 
-    fn take(&mut self, buffer: &mut Vec<u8>) -> Result<Option<Response>, ExchangeError> {
+    fn read_from(&mut self, buffer: &mut Vec<u8>) -> Result<Option<Response>, ExchangeError> {
         loop {
             if self.head.is_none() {
-                let head = read_response(buffer, self.expected.has_body).map_err(garbled)?;
+                let head = read_response(buffer, self.expected.has_body).map_err(malformed)?;
                 let Some(head) = head else { return Ok(None) };
                 self.body = Some(BodyReader::new(head.framing, MAX_ANSWER_BYTES));
                 self.head = Some(head);
             }
             let Some(body) = &mut self.body else { return Ok(None) };
-            match body.take(buffer).map_err(garbled)? {
-                Progress::Partial => return Ok(None),
-                Progress::TooLarge => return Err(ExchangeError::Garbled),
-                Progress::Whole => {}
+            match body.read_from(buffer).map_err(malformed)? {
+                BodyProgress::Partial => return Ok(None),
+                BodyProgress::TooLarge => return Err(ExchangeError::Malformed),
+                BodyProgress::Whole => {}
             }
             match (self.head.take(), self.body.take()) {
                 (Some(head), Some(_)) if self.is_stray(&head) => {
                     self.strays += 1;
                     if self.strays > MAX_STRAYS || !head.keeps_alive {
-                        return Err(ExchangeError::Garbled);
+                        return Err(ExchangeError::Malformed);
                     }
                 }
                 (Some(head), Some(body)) => {
@@ -303,6 +303,6 @@
     }
 }
 
-fn garbled(_: HeadError) -> ExchangeError {
-    ExchangeError::Garbled
+fn malformed(_: HeadError) -> ExchangeError {
+    ExchangeError::Malformed
 }
--- a/crates/gateway/src/http1/body.rs
+++ b/crates/gateway/src/http1/body.rs
@@ -18,7 +18,7 @@
 
 /// How far a body has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Progress {
+pub enum BodyProgress {
     /// More bytes are needed.
     Partial,
     /// It is whole.
@@ -61,7 +61,7 @@
     }
 
     /// Takes what belongs to the body off the front of `buffer`.
-    pub fn take(&mut self, buffer: &mut Vec<u8>) -> Result<Progress, HeadError> {
+    pub fn read_from(&mut self, buffer: &mut Vec<u8>) -> Result<BodyProgress, HeadError> {
         match self.framing {
             Framing::Length(length) => Ok(self.take_length(buffer, length)),
             Framing::Chunked => self.take_chunks(buffer),
@@ -72,25 +72,25 @@
         }
     }
 
-    fn take_length(&mut self, buffer: &mut Vec<u8>, length: u64) -> Progress {
+    fn take_length(&mut self, buffer: &mut Vec<u8>, length: u64) -> BodyProgress {
         let length = usize::try_from(length).unwrap_or(usize::MAX);
         if length > self.max_bytes {
-            return Progress::TooLarge;
+            return BodyProgress::TooLarge;
         }
         let wanted = (length - self.body.len()).min(buffer.len());
         self.body.extend(buffer.drain(..wanted));
-        if self.body.len() == length { Progress::Whole } else { Progress::Partial }
+        if self.body.len() == length { BodyProgress::Whole } else { BodyProgress::Partial }
     }
 
-    fn take_chunks(&mut self, buffer: &mut Vec<u8>) -> Result<Progress, HeadError> {
+    fn take_chunks(&mut self, buffer: &mut Vec<u8>) -> Result<BodyProgress, HeadError> {
         loop {
             match self.chunk {
                 Chunk::Size => match take_line(buffer)? {
-                    None => return Ok(Progress::Partial),
+                    None => return Ok(BodyProgress::Partial),
                     Some(line) => match chunk_size(&line)? {
                         0 => self.chunk = Chunk::Trailers,
                         size if size > self.max_bytes.saturating_sub(self.body.len()) => {
-                            return Ok(Progress::TooLarge);
+                            return Ok(BodyProgress::TooLarge);
                         }
                         size => self.chunk = Chunk::Data(size),
                     },
@@ -100,28 +100,28 @@
                     self.body.extend(buffer.drain(..taken));
                     if taken < left {
                         self.chunk = Chunk::Data(left - taken);
-                        return Ok(Progress::Partial);
+                        return Ok(BodyProgress::Partial);
                     }
                     self.chunk = Chunk::DataEnd;
                 }
                 Chunk::DataEnd => match take_line(buffer)? {
-                    None => return Ok(Progress::Partial),
+                    None => return Ok(BodyProgress::Partial),
                     Some(line) if line.is_empty() => self.chunk = Chunk::Size,
                     Some(_) => return Err(HeadError::BadEncoding),
                 },
                 Chunk::Trailers => match take_line(buffer)? {
-                    None => return Ok(Progress::Partial),
-                    Some(line) if line.is_empty() => return Ok(Progress::Whole),
+                    None => return Ok(BodyProgress::Partial),
+                    Some(line) if line.is_empty() => return Ok(BodyProgress::Whole),
                     Some(_) => {}
                 },
             }
         }
     }
 
-    fn partial(&self) -> Progress {
+    fn partial(&self) -> BodyProgress {
         match self.body.len() > self.max_bytes {
-            true => Progress::TooLarge,
-            false => Progress::Partial,
+            true => BodyProgress::TooLarge,
+            false => BodyProgress::Partial,
         }
     }
 }
--- a/crates/gateway/src/http1/mod.rs
+++ b/crates/gateway/src/http1/mod.rs
@@ -16,7 +16,7 @@
 mod response;
 mod write;
 
-pub use body::{BodyReader, Framing, Progress};
+pub use body::{BodyProgress, BodyReader, Framing};
 pub use head::{HeadError, HeadFields};
 pub use request::{RequestError, RequestHead, read_request};
 pub use response::{ResponseHead, read_response};
--- a/crates/gateway/src/http1/request.rs
+++ b/crates/gateway/src/http1/request.rs
@@ -40,7 +40,7 @@
     }
 
     /// Whether the method itself says that nothing is changed.
-    pub fn is_reading(&self) -> bool {
+    pub fn is_safe_method(&self) -> bool {
         matches!(self.method.as_str(), "GET" | "HEAD" | "OPTIONS")
     }
 }
--- a/crates/gateway/src/http1/write.rs
+++ b/crates/gateway/src/http1/write.rs
@@ -41,7 +41,7 @@
     for (name, value) in marks {
         write_field(&mut out, name, value.as_bytes());
     }
-    if !body.is_empty() || !head.is_reading() {
+    if !body.is_empty() || !head.is_safe_method() {
         write_field(&mut out, "content-length", body.len().to_string().as_bytes());
     }
     out.extend_from_slice(b"\r\n");
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -13,8 +13,8 @@
 
 use crate::event_log::LogEvent;
 use crate::host::{ACCEPT_PAUSE, Host, duration};
-use crate::http1::{BodyReader, Progress as BodyProgress, RequestError, RequestHead, read_request};
-use crate::serve::{Progress, Reply, Request, serve};
+use crate::http1::{BodyProgress, BodyReader, RequestError, RequestHead, read_request};
+use crate::serve::{Reply, Request, RequestProgress, serve};
 use caller::linger;
 use clock::Moment;
 use dispatch::attempts::{Cause, Refusal};
@@ -50,7 +50,7 @@
 /// A request whose answer is still to be written.
 struct Pending {
     request: Rc<Request>,
-    progress: Rc<Progress>,
+    progress: Rc<RequestProgress>,
     task: JoinHandle<Reply>,
     repeat: Repeat,
 }
@@ -58,7 +58,7 @@
 impl Pending {
     /// The caller left: withdraws the request, unless it runs at most once and was sent.
     fn abandon(&self, host: &Host) {
-        if !self.progress.runs_on.get() {
+        if !self.progress.continues_without_caller.get() {
             self.task.abort();
             return;
         }
@@ -66,7 +66,7 @@
         host.log.write(&LogEvent::CallerGone {
             id: self.request.head.fields.get(host.dialect.request_id).unwrap_or_default(),
             after_ms: host.now_ms().since(self.request.arrived_ms),
-            sendings: self.progress.sendings.get(),
+            sendings: self.progress.attempts.get(),
             runs_on: true,
         });
     }
@@ -264,7 +264,7 @@
             return false;
         }
         let Some(arriving) = &mut self.arriving else { return false };
-        let progress = arriving.body.take(&mut self.caller.inbox.borrow_mut());
+        let progress = arriving.body.read_from(&mut self.caller.inbox.borrow_mut());
         match progress {
             Ok(BodyProgress::Whole) => {}
             Ok(BodyProgress::Partial) => {
@@ -335,7 +335,7 @@
     /// Begins to serve the request that is whole, unless it has to wait for those before it.
     fn begin(&mut self) -> bool {
         let Some(request) = self.whole.take() else { return false };
-        let repeat = match request.head.is_reading() {
+        let repeat = match request.head.is_safe_method() {
             true => Repeat::Idempotent,
             false => Repeat::AtMostOnce,
         };
@@ -347,7 +347,7 @@
             return false;
         }
         self.is_last = !request.head.keeps_alive || self.host.is_stopping();
-        let progress = Rc::new(Progress::default());
+        let progress = Rc::new(RequestProgress::default());
         let serving = serve(
             Rc::clone(&self.host),
             Rc::clone(&self.caller),
--- a/crates/gateway/src/probe/health_check.rs
+++ b/crates/gateway/src/probe/health_check.rs
@@ -147,7 +147,7 @@
     host.metrics.asked();
     let request = format!("GET {path} HTTP/1.1\r\nhost: upstream\r\n\r\n");
     let id = Some((host.dialect.request_id, ""));
-    let expected = Expected { has_body: true, id, silence: None };
+    let expected = Expected { has_body: true, id, read_timeouts: None };
     let answer = connection.exchange(request.as_bytes(), expected).await;
     let answer = answer.map_err(|_| AskFailure::Unreachable)?;
     host.note_unread(upstream, &answer.head.fields, AnswerTo::HealthCheck);
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -52,19 +52,19 @@
 
 /// What others may see of a request in progress.
 #[derive(Debug, Default)]
-pub struct Progress {
+pub struct RequestProgress {
     /// It was sent and must not be broken off when its caller leaves: it runs at most once,
     /// and an order half done helps nobody.
-    pub runs_on: Cell<bool>,
+    pub continues_without_caller: Cell<bool>,
     /// Sendings so far.
-    pub sendings: Cell<u32>,
+    pub attempts: Cell<u32>,
 }
 
 struct Serving {
     host: Rc<Host>,
     caller: Rc<Caller>,
     request: Rc<Request>,
-    progress: Rc<Progress>,
+    progress: Rc<RequestProgress>,
     id: String,
     matched: MatchedRoute,
     service: ServiceName,
@@ -77,7 +77,7 @@
     host: Rc<Host>,
     id: String,
     arrived_ms: Millis,
-    progress: Rc<Progress>,
+    progress: Rc<RequestProgress>,
     is_answered: bool,
 }
 
@@ -89,7 +89,7 @@
             self.host.log.write(&LogEvent::CallerGone {
                 id: &self.id,
                 after_ms: self.host.now_ms().since(self.arrived_ms),
-                sendings: self.progress.sendings.get(),
+                sendings: self.progress.attempts.get(),
                 runs_on: false,
             });
         }
@@ -101,7 +101,7 @@
     host: Rc<Host>,
     caller: Rc<Caller>,
     request: Rc<Request>,
-    progress: Rc<Progress>,
+    progress: Rc<RequestProgress>,
 ) -> Reply {
     host.open_requests.set(host.open_requests.get() + 1);
     let id = request.head.fields.get(host.dialect.request_id).unwrap_or_default().to_owned();
@@ -136,7 +136,7 @@
     route: &str,
     refusal: Refusal,
     request: &Request,
-    progress: &Progress,
+    progress: &RequestProgress,
 ) {
     host.metrics.refused(route, refusal.cause);
     host.log.write(&LogEvent::Refused {
@@ -144,7 +144,7 @@
         status: refusal.cause.status(),
         refusal,
         after_ms: host.now_ms().since(request.arrived_ms),
-        sendings: progress.sendings.get(),
+        sendings: progress.attempts.get(),
         picture_age_ms: host.picture_age_ms(),
     });
 }
@@ -153,7 +153,7 @@
     host: &Rc<Host>,
     caller: &Rc<Caller>,
     request: &Rc<Request>,
-    progress: &Rc<Progress>,
+    progress: &Rc<RequestProgress>,
     id: &str,
 ) -> Result<Serving, Refusal> {
     let table = host.table.borrow().clone();
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -114,8 +114,8 @@
         counts.sent += 1;
         counts.arrived += 1;
         counts.tried.push(found.upstream.clone());
-        self.progress.sendings.set(counts.sent);
-        self.progress.runs_on.set(self.route().repeat == Repeat::AtMostOnce);
+        self.progress.attempts.set(counts.sent);
+        self.progress.continues_without_caller.set(self.route().repeat == Repeat::AtMostOnce);
         self.note_begin(&found, now_ms, counts.sent);
         if found.held.is_none() {
             self.host.note_sent_rated(&found.upstream);
@@ -165,7 +165,7 @@
         let expected = Expected {
             has_body: self.request.head.method != "HEAD",
             id: Some((self.host.dialect.request_id, &self.id)),
-            silence: None,
+            read_timeouts: None,
         };
         let result = tokio::select! {
             // What has come by then is an answer all the same.
@@ -177,7 +177,7 @@
         let (end, answer) = match result {
             Ok(answer) => (End::Answered(self.answered(&answer)), Some(answer)),
             Err(ExchangeError::NotSent) => (End::NotSent, None),
-            Err(ExchangeError::Broken | ExchangeError::Silent | ExchangeError::Garbled) => {
+            Err(ExchangeError::Broken | ExchangeError::TimedOut | ExchangeError::Malformed) => {
                 (End::Broken, None)
             }
         };
--- a/crates/gateway/src/serve/selection.rs
+++ b/crates/gateway/src/serve/selection.rs
@@ -285,7 +285,7 @@
     /// After a pause of this process the caller may be gone without our knowing. It never
     /// returns then: the request is withdrawn by whoever reads the caller's connection.
     async fn check_caller(&self) {
-        if self.caller.is_gone_now() && !self.progress.runs_on.get() {
+        if self.caller.is_gone_now() && !self.progress.continues_without_caller.get() {
             std::future::pending::<()>().await;
         }
     }
--- a/crates/gateway/tests/http1.rs
+++ b/crates/gateway/tests/http1.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used)]
 
 use gateway::http1::{
-    BodyReader, Framing, HeadError, Progress, RequestError, read_request, read_response,
+    BodyProgress, BodyReader, Framing, HeadError, RequestError, read_request, read_response,
     write_request,
 };
 use rstest::rstest;
@@ -94,14 +94,14 @@
 }
 
 /// Feeds a body byte by byte; returns its end, the body and what is left.
-fn body(framing: Framing, text: &str) -> (Result<Progress, HeadError>, String, String) {
+fn body(framing: Framing, text: &str) -> (Result<BodyProgress, HeadError>, String, String) {
     let mut reader = BodyReader::new(framing, 64);
     let mut buffer = Vec::new();
-    let mut end = Ok(Progress::Partial);
+    let mut end = Ok(BodyProgress::Partial);
     for byte in text.bytes() {
         buffer.push(byte);
-        if end == Ok(Progress::Partial) {
-            end = reader.take(&mut buffer);
+        if end == Ok(BodyProgress::Partial) {
+            end = reader.read_from(&mut buffer);
         }
     }
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
@@ -118,7 +118,7 @@
     #[case] wanted: &str,
     #[case] left: &str,
 ) {
-    assert_eq!(body(framing, text), (Ok(Progress::Whole), wanted.to_owned(), left.to_owned()));
+    assert_eq!(body(framing, text), (Ok(BodyProgress::Whole), wanted.to_owned(), left.to_owned()));
 }
 
 #[rstest]
@@ -136,7 +136,7 @@
 #[case::chunk(Framing::Chunked, "41\r\n")]
 #[case::chunks(Framing::Chunked, "20\r\n................................\r\n21\r\n")]
 fn bodies_over_the_limit_are_refused(#[case] framing: Framing, #[case] text: &str) {
-    assert_eq!(body(framing, text).0, Ok(Progress::TooLarge));
+    assert_eq!(body(framing, text).0, Ok(BodyProgress::TooLarge));
 }
 
 #[rstest]
--- a/crates/gateway/tests/support/caller.rs
+++ b/crates/gateway/tests/support/caller.rs
@@ -1,7 +1,7 @@
 //! A caller's connection.
 
 use super::LONG;
-use gateway::http1::{BodyReader, Progress, read_response};
+use gateway::http1::{BodyProgress, BodyReader, read_response};
 use std::net::{Ipv4Addr, SocketAddr};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpSocket, TcpStream};
@@ -71,7 +71,7 @@
             }
         };
         let mut body = BodyReader::new(head.framing, 1 << 20);
-        while body.take(&mut self.buffer).unwrap() != Progress::Whole {
+        while body.read_from(&mut self.buffer).unwrap() != BodyProgress::Whole {
             self.fill().await?;
         }
         let field = |name: &str| head.fields.get(name).unwrap_or_default().to_owned();
--- a/crates/gateway/tests/support/upstream.rs
+++ b/crates/gateway/tests/support/upstream.rs
@@ -1,6 +1,6 @@
 //! An upstream that behaves and misbehaves by script.
 
-use gateway::http1::{BodyReader, Progress, read_request};
+use gateway::http1::{BodyProgress, BodyReader, read_request};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -335,7 +335,7 @@
                 return;
             }
             let mut body = BodyReader::new(head.framing, 1 << 20);
-            while body.take(&mut buffer) != Ok(Progress::Whole) {
+            while body.read_from(&mut buffer) != Ok(BodyProgress::Whole) {
                 match stream.read_buf(&mut buffer).await {
                     Ok(read) if read > 0 => {}
                     _ => return,
