--- a/crates/gateway/src/backpressure.rs
+++ b/crates/gateway/src/backpressure.rs
@@ -130,7 +130,7 @@
 }
 
 /// What is due now and then: forgets, and offers a peer what it may have missed.
-pub fn turn(host: &Host) {
+pub fn run_maintenance(host: &Host) {
     host.upstreams.borrow_mut().forget_backpressure(host.now_ms());
     let digest = host.upstreams.borrow().backpressure().digest();
     if digest != 0 {
@@ -140,23 +140,23 @@
 }
 
 /// Peers were heard of. After the start they are asked for what upstreams said before.
-pub fn note_peers(host: &Host) {
+pub fn catch_up_after_start(host: &Host) {
     let asked = host.backpressure_asks.get();
     if asked < fleet_message::START_ASKS {
         host.backpressure_asks.set(asked + 1);
-        ask_peers(host);
+        request_from_peers(host);
     }
 }
 
 /// Asks some peers for what this host missed: it has just started, or stood still.
-pub fn ask_peers(host: &Host) {
+pub fn request_from_peers(host: &Host) {
     let digest = host.upstreams.borrow().backpressure().digest();
     let ask = Datagram::Backpressure(BackpressureMessage::Ask { digest });
     fleet_message::ask_some(host, &ask);
 }
 
 /// Takes a peer's message; true if the peer waits to hear that this host is there.
-pub fn take(host: &Host, message: BackpressureMessage, from: SocketAddr) -> bool {
+pub fn handle_message(host: &Host, message: BackpressureMessage, from: SocketAddr) -> bool {
     let own_digest = host.upstreams.borrow().backpressure().digest();
     match message {
         BackpressureMessage::Stated { told, passes_on } => {
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -10,7 +10,7 @@
 use crate::event_log::{EventLog, LogEvent};
 use crate::metrics::Metrics;
 use crate::placement::PlacementState;
-use crate::pool::{Kept, Pool};
+use crate::pool::{Pool, PoolLimit};
 use crate::settings::Settings;
 use crate::unread::UnreadMarks;
 use clock::Clock;
@@ -234,7 +234,7 @@
         self.repeats.borrow_mut().set_allowed(settings.limits.repeats);
         self.asks.borrow_mut().set_allowed(own_asks(&settings));
         self.neighbours_asks.borrow_mut().set_allowed(neighbours_asks(&settings));
-        self.placement.asks.borrow_mut().set_allowed(schedulers_asks(&settings));
+        self.placement.probe_budget.borrow_mut().set_allowed(schedulers_asks(&settings));
         held.limits = settings.limits;
         held.seeds = settings.seeds;
         drop(held);
@@ -244,7 +244,7 @@
     /// The process is awake: budgets save nothing up for the time in which it wasn't.
     pub fn note_awake(&self) {
         let now_ms = self.now_ms();
-        for asks in [&self.asks, &self.neighbours_asks, &self.placement.asks] {
+        for asks in [&self.asks, &self.neighbours_asks, &self.placement.probe_budget] {
             asks.borrow_mut().note_awake(now_ms);
         }
     }
@@ -260,7 +260,7 @@
         };
         self.pool.borrow_mut().prune(|id| {
             let upstream = &picture.upstream(id)?.value;
-            Some(Kept { run: upstream.run, most: most(&upstream.service) })
+            Some(PoolLimit { run: upstream.run, max_idle: most(&upstream.service) })
         });
     }
 
@@ -273,7 +273,7 @@
         self.prune_connections();
         self.asks.borrow_mut().retain(is_known);
         self.neighbours_asks.borrow_mut().retain(is_known);
-        self.placement.asks.borrow_mut().retain(is_known);
+        self.placement.probe_budget.borrow_mut().retain(is_known);
         self.rates.borrow_mut().retain(now_ms, is_known);
         self.unread.borrow_mut().retain(is_known);
         self.unreadable.borrow_mut().retain(is_known);
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -142,17 +142,17 @@
                 self.act(|gossip| gossip.take(now_ms, message, from));
             }
             Ok(Datagram::Quarantine(message)) => {
-                if quarantine::take(&self.host, message, from) {
+                if quarantine::handle_message(&self.host, message, from) {
                     self.act(|gossip| gossip.answer(from));
                 }
             }
             Ok(Datagram::Backpressure(message)) => {
-                if backpressure::take(&self.host, message, from) {
+                if backpressure::handle_message(&self.host, message, from) {
                     self.act(|gossip| gossip.answer(from));
                 }
             }
             Ok(Datagram::Placement(message)) => {
-                placement::take(&self.host, message, Asker::Peer(from));
+                placement::handle_message(&self.host, message, Asker::Peer(from));
             }
             Err(e) => self.host.log.write(&LogEvent::PeerUnreadable {
                 from: from.to_string(),
@@ -174,10 +174,10 @@
                 self.host.log.write(&LogEvent::Fetched { peer, revision, is_whole });
             }
             Effect::PeersHeard(peers) => {
-                peers.iter().for_each(|peer| self.host.placement.forget_silence(peer));
+                peers.iter().for_each(|peer| self.host.placement.mark_responsive(peer));
                 let (count, first) = (peers.len(), peers.first());
-                quarantine::note_peers(&self.host);
-                backpressure::note_peers(&self.host);
+                quarantine::catch_up_after_start(&self.host);
+                backpressure::catch_up_after_start(&self.host);
                 self.host.log.write(&LogEvent::PeersHeard { count, first, hosts });
             }
             Effect::Announce { after_ms } => self.act_later(after_ms, Gossip::announce),
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -9,7 +9,7 @@
 mod scheduling;
 
 pub use guard::PlacementGuard;
-pub use scheduling::{note_order, run, turn};
+pub use scheduling::{reschedule, run, update_first_cells};
 
 use crate::event_log::LogEvent;
 use crate::fleet_message;
@@ -51,7 +51,7 @@
     /// What this host schedules.
     pub schedulers: RefCell<SchedulerSet>,
     /// Health checks that its schedulers may spend.
-    pub asks: RefCell<AskBudget>,
+    pub probe_budget: RefCell<AskBudget>,
     directory: RefCell<Directory>,
     awaited: RefCell<FastMap<Ticket, mpsc::UnboundedSender<SchedulerReply>>>,
     next_ticket: std::cell::Cell<u64>,
@@ -82,11 +82,16 @@
 
 impl PlacementState {
     /// Speaks through the peers' socket; `seed` sets this run's tickets apart from those of the last.
-    pub fn new(socket: Rc<UdpSocket>, host: HostId, asks: AskBudget, seed: u64) -> PlacementState {
+    pub fn new(
+        socket: Rc<UdpSocket>,
+        host: HostId,
+        probe_budget: AskBudget,
+        seed: u64,
+    ) -> PlacementState {
         PlacementState {
             socket,
             schedulers: RefCell::new(SchedulerSet::new(host)),
-            asks: RefCell::new(asks),
+            probe_budget: RefCell::new(probe_budget),
             directory: RefCell::default(),
             awaited: RefCell::default(),
             next_ticket: std::cell::Cell::new(seed % FIRST_TICKETS),
@@ -106,7 +111,7 @@
     }
 
     /// A peer is there in a new run.
-    pub fn forget_silence(&self, peer: &HostId) {
+    pub fn mark_responsive(&self, peer: &HostId) {
         self.directory.borrow_mut().note_heard(peer);
     }
 
@@ -187,7 +192,7 @@
 }
 
 /// Takes a peer's message on a place.
-pub fn take(host: &Rc<Host>, message: PlacementMessage, asker: Asker) {
+pub fn handle_message(host: &Rc<Host>, message: PlacementMessage, asker: Asker) {
     match message {
         PlacementMessage::Queued { ticket } => {
             host.placement.deliver(ticket, SchedulerReply::Queued)
@@ -205,14 +210,14 @@
         }
         PlacementMessage::Submit(_)
         | PlacementMessage::Ended { .. }
-        | PlacementMessage::Withdrawn { .. } => scheduling::take(host, message, asker),
+        | PlacementMessage::Withdrawn { .. } => scheduling::handle_message(host, message, asker),
     }
 }
 
 /// Tells a host.
 fn tell(host: &Rc<Host>, to: Asker, message: PlacementMessage) {
     let address = match to {
-        Asker::Own => return take(host, message, Asker::Own),
+        Asker::Own => return handle_message(host, message, Asker::Own),
         Asker::Peer(address) => address,
     };
     // Lost is lost: whoever waits in vain asks upstreams by itself.
--- a/crates/gateway/src/placement/scheduling.rs
+++ b/crates/gateway/src/placement/scheduling.rs
@@ -10,19 +10,19 @@
 use std::rc::Rc;
 
 /// Takes a host's message to a scheduler.
-pub(super) fn take(host: &Rc<Host>, message: PlacementMessage, asker: Asker) {
+pub(super) fn handle_message(host: &Rc<Host>, message: PlacementMessage, asker: Asker) {
     act(host, |schedulers, now_ms, upstreams, rng| {
         schedulers.take(now_ms, message, asker, upstreams, rng)
     });
 }
 
 /// Looks again at all that waits: something was learned, or time has passed.
-pub fn turn(host: &Rc<Host>) {
+pub fn reschedule(host: &Rc<Host>) {
     act(host, SchedulerSet::turn);
 }
 
 /// Looks for which cells no other host comes before this one.
-pub fn note_order(host: &Host) {
+pub fn update_first_cells(host: &Host) {
     let members = host.members();
     let is_first = |cell: &Cell| {
         let all = members.others().chain(std::iter::once(members.own()));
@@ -44,7 +44,7 @@
         &mut host.rng.borrow_mut(),
     );
     if host.placement.schedulers.borrow().has_unordered() {
-        note_order(host);
+        update_first_cells(host);
     }
     carry_out(host, effects);
 }
@@ -56,7 +56,7 @@
         match next_ms {
             Some(next_ms) => {
                 host.clock.sleep_until(next_ms).await;
-                turn(&host);
+                reschedule(&host);
             }
             None => host.placement.is_waiting.notified().await,
         }
@@ -71,7 +71,7 @@
                 let host = Rc::clone(host);
                 tokio::task::spawn_local(async move {
                     if probe::refresh(&host, &upstream).await {
-                        turn(&host);
+                        reschedule(&host);
                     }
                 });
             }
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -7,11 +7,11 @@
 
 /// What is kept to an upstream.
 #[derive(Debug)]
-pub struct Kept {
+pub struct PoolLimit {
     /// The run that goes on.
     pub run: RunStart,
     /// Idle connections at most.
-    pub most: usize,
+    pub max_idle: usize,
 }
 
 /// Idle connections by upstream; the one used last is used next, so that the rest ages out.
@@ -45,11 +45,11 @@
 
     /// Closes what is of no use any more, as it aged, or its upstream is gone or has started again; and
     /// the oldest of what is more than others leave to this host.
-    pub fn prune(&mut self, kept_of: impl Fn(&UpstreamId) -> Option<Kept>) {
+    pub fn prune(&mut self, kept_of: impl Fn(&UpstreamId) -> Option<PoolLimit>) {
         self.idle.retain(|upstream, idle| {
             let Some(kept) = kept_of(upstream) else { return false };
             idle.retain_mut(|connection| is_usable(connection, kept.run));
-            idle.drain(..idle.len().saturating_sub(kept.most));
+            idle.drain(..idle.len().saturating_sub(kept.max_idle));
             !idle.is_empty()
         });
     }
--- a/crates/gateway/src/probe/health_check.rs
+++ b/crates/gateway/src/probe/health_check.rs
@@ -52,7 +52,7 @@
 
 /// Asks an upstream for the schedulers of this host; false if no question is left.
 pub async fn refresh(host: &Rc<Host>, upstream: &UpstreamId) -> bool {
-    let may_ask = host.placement.asks.borrow_mut().take(host.now_ms(), upstream, 1.0);
+    let may_ask = host.placement.probe_budget.borrow_mut().take(host.now_ms(), upstream, 1.0);
     let known = host.upstreams.borrow().get(upstream).map(|known| known.entry.service.clone());
     let Some(service) = known.filter(|_| may_ask) else { return false };
     if let Some((connection, _)) = ask_within_limit(host, &service, upstream).await {
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -147,7 +147,7 @@
 }
 
 /// What is due now and then: forgets, and offers a peer what it may have missed.
-pub fn turn(host: &Host) {
+pub fn run_maintenance(host: &Host) {
     let now_ms = host.now_ms();
     host.quarantine.borrow_mut().settle(now_ms);
     let Some(digest) = host.quarantine.borrow_mut().offer(now_ms) else { return };
@@ -157,23 +157,23 @@
 
 /// Peers were heard of. After the start they are asked for what this host missed, a few times only:
 /// hundreds of hosts that start together hear of each other in dozens of messages.
-pub fn note_peers(host: &Host) {
+pub fn catch_up_after_start(host: &Host) {
     let asked = host.quarantine_asks.get();
     if asked < fleet_message::START_ASKS && host.quarantine.borrow().is_empty() {
         host.quarantine_asks.set(asked + 1);
-        ask_peers(host);
+        request_from_peers(host);
     }
 }
 
 /// Asks some peers for what this host missed: it has just started, or stood still.
-pub fn ask_peers(host: &Host) {
+pub fn request_from_peers(host: &Host) {
     let digest = host.quarantine.borrow().digest();
     let ask = Datagram::Quarantine(QuarantineMessage::Ask { digest });
     fleet_message::ask_some(host, &ask);
 }
 
 /// Takes a peer's message; true if the peer waits to hear that this host is there.
-pub fn take(host: &Host, message: QuarantineMessage, from: SocketAddr) -> bool {
+pub fn handle_message(host: &Host, message: QuarantineMessage, from: SocketAddr) -> bool {
     let now_ms = host.now_ms();
     let own_digest = host.quarantine.borrow().digest();
     match message {
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -271,10 +271,10 @@
             }
         }
         peers.act(|gossip| gossip.settle(now_ms));
-        placement::note_order(&host);
-        placement::turn(&host);
-        quarantine::turn(&host);
-        backpressure::turn(&host);
+        placement::update_first_cells(&host);
+        placement::reschedule(&host);
+        quarantine::run_maintenance(&host);
+        backpressure::run_maintenance(&host);
         host.prune_connections();
     }
 }
@@ -283,8 +283,8 @@
     let late_ms = took_ms.since(Millis(CHORES.as_millis() as u64));
     if late_ms > PAUSED_MS {
         host.log.write(&LogEvent::Paused { for_ms: late_ms });
-        quarantine::ask_peers(host);
-        backpressure::ask_peers(host);
+        quarantine::request_from_peers(host);
+        backpressure::request_from_peers(host);
     }
 }
 
