--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! One request, from its arrival to its final answer.
+//! Serves one request, from its arrival to its final response.
 
 mod admission;
 mod attempt;
@@ -22,45 +22,46 @@
 use std::cell::{Cell, OnceCell};
 use std::rc::Rc;
 
-/// A request that has arrived whole.
+/// A request that was read completely.
 #[derive(Debug)]
 pub struct Request {
-    /// Its head.
+    /// Request line and headers.
     pub head: RequestHead,
-    /// Its body.
+    /// Body, without its framing.
     pub body: Vec<u8>,
-    /// When its head was there.
+    /// When its head was complete.
     pub arrived_ms: Millis,
 }
 
 impl Request {
-    /// The time that its caller has, if it states one under this name.
-    fn stated_ms(&self, name: &str) -> Option<Millis> {
+    /// A duration in milliseconds that the caller stated in this header, if it is valid.
+    fn header_ms(&self, name: &str) -> Option<Millis> {
         let stated_ms = self.head.fields.get(name)?.parse::<f64>().ok()?;
         (stated_ms >= 0.0).then_some(Millis(stated_ms as u64))
     }
 }
 
-/// The final answer to a request.
+/// The final response to a request.
 #[derive(Debug)]
 pub enum Reply {
-    /// An upstream's.
+    /// A response of an upstream.
     Response(Response),
-    /// The host's own.
+    /// A refusal by this host.
     Refused(Refusal),
 }
 
-/// What others may see of a request in progress.
+/// Progress of a request, shared with the task that reads the caller's connection.
 #[derive(Debug, Default)]
 pub struct RequestProgress {
-    /// It was sent and must not be broken off when its caller leaves: it runs at most once,
-    /// and an order half done helps nobody.
+    /// The request was sent and runs at most once, so it isn't cancelled when its caller
+    /// disconnects: it may have side effects that would be left half done.
     pub continues_without_caller: Cell<bool>,
-    /// Sendings so far.
+    /// Attempts so far.
     pub attempts: Cell<u32>,
 }
 
-struct Serving {
+/// A request with its route, its service, and the time by which it must be answered.
+struct RoutedRequest {
     host: Rc<Host>,
     caller: Rc<Caller>,
     request: Rc<Request>,
@@ -72,8 +73,9 @@
     fingerprint: OnceCell<RequestFingerprint>,
 }
 
-/// Counts a request as open, and tells when its caller left it.
-struct OpenRequest {
+/// Counts a request as open while it exists; logs if the request is dropped unanswered,
+/// which happens when its caller disconnects.
+struct OpenRequestGuard {
     host: Rc<Host>,
     id: String,
     arrived_ms: Millis,
@@ -81,7 +83,7 @@
     is_answered: bool,
 }
 
-impl Drop for OpenRequest {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         self.host.open_requests.set(self.host.open_requests.get().saturating_sub(1));
         if !self.is_answered {
@@ -96,7 +98,7 @@
     }
 }
 
-/// Serves a request. Dropped midway, everything in progress for it is withdrawn.
+/// Serves a request. Dropping the future cancels everything in progress for the request.
 pub async fn serve(
     host: Rc<Host>,
     caller: Rc<Caller>,
@@ -105,7 +107,7 @@
 ) -> Reply {
     host.open_requests.set(host.open_requests.get() + 1);
     let id = request.head.fields.get(host.dialect.request_id).unwrap_or_default().to_owned();
-    let mut open = OpenRequest {
+    let mut open = OpenRequestGuard {
         host: Rc::clone(&host),
         id: id.clone(),
         arrived_ms: request.arrived_ms,
@@ -124,13 +126,13 @@
     match outcome {
         Ok(reply) => reply,
         Err(refusal) => {
-            note_refusal(&host, &id, &route, refusal, &request, &progress);
+            log_refusal(&host, &id, &route, refusal, &request, &progress);
             Reply::Refused(refusal)
         }
     }
 }
 
-fn note_refusal(
+fn log_refusal(
     host: &Host,
     id: &str,
     route: &str,
@@ -149,13 +151,14 @@
     });
 }
 
+/// Chooses the route and the service of a request, and computes its deadline.
 fn route(
     host: &Rc<Host>,
     caller: &Rc<Caller>,
     request: &Rc<Request>,
     progress: &Rc<RequestProgress>,
     id: &str,
-) -> Result<Serving, Refusal> {
+) -> Result<RoutedRequest, Refusal> {
     let table = host.table.borrow().clone();
     let table = table.ok_or(Refusal::not_run(Cause::NotConfigured))?;
     let authority = request.head.fields.get("host").unwrap_or_default();
@@ -165,7 +168,7 @@
     let now_ms = host.now_ms();
     host.repeats.borrow_mut().earn(now_ms, &service, host.hosts());
     let arrived_ms = request.arrived_ms;
-    let stated_ms = request.stated_ms(host.dialect.deadline_ms);
+    let stated_ms = request.header_ms(host.dialect.deadline_ms);
     let deadline_ms = stated_ms.map_or(Millis::MAX, |stated_ms| arrived_ms + stated_ms);
     let end_ms = deadline_ms.min(arrived_ms + matched.route.timeout_ms);
     host.log.write(&LogEvent::Routed {
@@ -176,7 +179,7 @@
         left_ms: end_ms.since(now_ms),
         picture_age_ms: host.picture_age_ms(),
     });
-    Ok(Serving {
+    Ok(RoutedRequest {
         host: Rc::clone(host),
         caller: Rc::clone(caller),
         request: Rc::clone(request),
--- a/crates/gateway/src/serve/admission.rs
+++ b/crates/gateway/src/serve/admission.rs
@@ -1,21 +1,22 @@
-//! Whether a request may leave, by what is held against it, and what its end says of it.
+//! Quarantine of a request: whether it may be sent, and what the end of an attempt says about it.
 
-use super::attempt::SendingCounts;
+use super::attempt::AttemptCounts;
 use super::fingerprint::fingerprint;
-use super::{Request, Serving};
+use super::{Request, RoutedRequest};
 use crate::quarantine;
 use dispatch::attempts::{self, Cause, End, Refusal};
 use dispatch::quarantine::Admission;
 use domain::{Millis, RequestFingerprint};
 
-impl Serving {
-    /// Waits while another host tries a request that asks the same; refuses what is held back.
-    pub(super) async fn wait_for_trial(&self, counts: &SendingCounts) -> Result<(), Refusal> {
+impl RoutedRequest {
+    /// Waits while another host sends a request with the same fingerprint as a trial; refuses the
+    /// request if it is quarantined.
+    pub(super) async fn wait_for_trial(&self, counts: &AttemptCounts) -> Result<(), Refusal> {
         loop {
             let news = self.host.quarantine_news.notified();
             let for_ms = match self.admission() {
                 Admission::Free | Admission::Trial => return Ok(()),
-                Admission::Held { for_ms } => return Err(held_back(for_ms, counts)),
+                Admission::Held { for_ms } => return Err(quarantine_refusal(for_ms, counts)),
                 Admission::Wait { for_ms } => for_ms,
             };
             let until_ms = self.end_ms.min(self.host.now_ms() + for_ms);
@@ -27,13 +28,13 @@
         }
     }
 
-    /// Whether it may leave now; true if it does so as a trial.
-    pub(super) fn admit(&self, counts: &SendingCounts) -> Result<bool, Refusal> {
+    /// Checks that the request may be sent now; returns whether it is sent as a trial.
+    pub(super) fn admit(&self, counts: &AttemptCounts) -> Result<bool, Refusal> {
         match self.admission() {
             Admission::Free => Ok(false),
             Admission::Trial => Ok(true),
             Admission::Wait { for_ms } | Admission::Held { for_ms } => {
-                Err(held_back(for_ms, counts))
+                Err(quarantine_refusal(for_ms, counts))
             }
         }
     }
@@ -46,9 +47,10 @@
         }
     }
 
-    /// An upstream that ran it to its end clears it; a crash was noted as it was seen. One that
-    /// fails requests may have failed it before it ran.
-    pub(super) fn note_for_quarantine(&self, end: End, is_trial: bool) {
+    /// Ends the trial, and clears the request if an upstream served it. An error response clears
+    /// nothing: the upstream may have failed the request before it ran. Crashes are recorded
+    /// where they are detected.
+    pub(super) fn update_quarantine(&self, end: End, is_trial: bool) {
         if self.host.quarantine.borrow().is_empty() {
             return;
         }
@@ -63,7 +65,7 @@
         }
     }
 
-    /// What it asks; computed once it is needed, since it reads the whole body.
+    /// The request's fingerprint; computed on first use, since it hashes the whole body.
     pub(super) fn fingerprint(&self) -> RequestFingerprint {
         let Request { head, body, .. } = &*self.request;
         let compute = || fingerprint(head, body, self.host.dialect.caller);
@@ -71,7 +73,7 @@
     }
 }
 
-fn held_back(for_ms: Millis, counts: &SendingCounts) -> Refusal {
+fn quarantine_refusal(for_ms: Millis, counts: &AttemptCounts) -> Refusal {
     match counts.may_have_run() > 0 {
         true => Refusal::unknown(Cause::UpstreamFailed),
         false => Refusal::held_back(for_ms),
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -1,9 +1,9 @@
-//! The sendings of a request, until it has its final answer.
+//! Sends a request to upstreams until it has its final response.
 
-use super::attempt_end::{Ended, KeptFailure, failure_of};
+use super::attempt_end::{EndedAttempt, KeptFailure, failure_of};
 use super::attempt_guard::AttemptGuard;
-use super::selection::Found;
-use super::{Reply, Serving};
+use super::selection::Selected;
+use super::{Reply, RoutedRequest};
 use crate::backpressure;
 use crate::connection::{Connection, ExchangeError, Expected, Response};
 use crate::event_log::{AnswerTo, LogEvent};
@@ -16,53 +16,53 @@
 use domain::{Millis, UpstreamId};
 use published::{Repeat, Route};
 
-/// A request that is about to leave for an upstream.
-struct Sending {
-    found: Found,
+/// One attempt, ready to be sent.
+struct Attempt {
+    selected: Selected,
     connection: Connection,
     bytes: Vec<u8>,
     guard: AttemptGuard,
     sent_ms: Millis,
-    /// The only one of its kind in the fleet.
+    /// It is the only request with its fingerprint that the fleet has in flight.
     is_trial: bool,
 }
 
-/// What the sendings of a request came to so far.
+/// Outcomes of a request's attempts so far.
 #[derive(Debug, Default)]
-pub(super) struct SendingCounts {
-    /// Upstreams that had it, or could not be reached.
+pub(super) struct AttemptCounts {
+    /// Upstreams that it was sent to, or that could not be used.
     pub(super) tried: Vec<UpstreamId>,
-    /// Sendings.
+    /// Attempts.
     pub(super) sent: u32,
-    /// Those that reached an upstream.
+    /// Attempts of which any byte was sent.
     pub(super) arrived: u32,
-    /// Those that surely did not run.
+    /// Attempts that certainly did not run.
     pub(super) not_run: u32,
-    /// Those under which the upstream crashed.
+    /// Attempts during which the upstream crashed.
     pub(super) crashes: u32,
 }
 
-impl SendingCounts {
-    /// Sendings after which it may have run.
+impl AttemptCounts {
+    /// Attempts that may have run.
     pub(super) fn may_have_run(&self) -> u32 {
         self.sent - self.not_run
     }
 }
 
-impl Serving {
+impl RoutedRequest {
     pub(super) fn route(&self) -> &Route {
         &self.matched.route
     }
 
     pub(super) async fn run(self) -> Result<Reply, Refusal> {
-        let mut counts = SendingCounts::default();
+        let mut counts = AttemptCounts::default();
         let mut kept = None;
         let outcome = self.send_until_answered(&mut counts, &mut kept).await;
         if counts.crashes > 0 {
             quarantine::note_over(&self.host, self.fingerprint());
         }
         match (outcome, kept) {
-            // What an upstream answered says more than a failure of ours in its place.
+            // An upstream's error response tells the caller more than a refusal by this host.
             (Err(refusal), Some(KeptFailure { upstream, answer })) if !refusal.is_not_run => {
                 Ok(self.deliver(&upstream, answer, &counts))
             }
@@ -72,17 +72,17 @@
 
     async fn send_until_answered(
         &self,
-        counts: &mut SendingCounts,
+        counts: &mut AttemptCounts,
         kept: &mut Option<KeptFailure>,
     ) -> Result<Reply, Refusal> {
         loop {
             self.wait_for_trial(counts).await?;
-            let (found, connection) = self.find_in_time(counts).await?;
-            let sending = self.begin(found, connection, counts)?;
+            let (selected, connection) = self.select_in_time(counts).await?;
+            let attempt = self.begin(selected, connection, counts)?;
             tokio::select! {
                 biased;
-                ended = self.send(sending) => {
-                    if let Some(outcome) = self.settle(ended, counts, kept) {
+                ended = self.send(attempt) => {
+                    if let Some(outcome) = self.handle_end(ended, counts, kept) {
                         return outcome;
                     }
                 }
@@ -93,18 +93,19 @@
         }
     }
 
+    /// Admits an attempt and records its start; refuses if time is up or the request is quarantined.
     fn begin(
         &self,
-        mut found: Found,
+        mut selected: Selected,
         connection: Connection,
-        counts: &mut SendingCounts,
-    ) -> Result<Sending, Refusal> {
+        counts: &mut AttemptCounts,
+    ) -> Result<Attempt, Refusal> {
         let now_ms = self.host.now_ms();
         self.check_time(now_ms, counts)?;
         let is_trial = match self.admit(counts) {
             Ok(is_trial) => is_trial,
             Err(refusal) => {
-                self.host.pool.borrow_mut().put(&found.upstream, connection);
+                self.host.pool.borrow_mut().put(&selected.upstream, connection);
                 return Err(refusal);
             }
         };
@@ -113,39 +114,39 @@
         }
         counts.sent += 1;
         counts.arrived += 1;
-        counts.tried.push(found.upstream.clone());
+        counts.tried.push(selected.upstream.clone());
         self.progress.attempts.set(counts.sent);
         self.progress.continues_without_caller.set(self.route().repeat == Repeat::AtMostOnce);
-        self.note_begin(&found, now_ms, counts.sent);
-        if found.held.is_none() {
-            self.host.note_sent_rated(&found.upstream);
+        self.log_attempt(&selected, now_ms, counts.sent);
+        if selected.placement.is_none() {
+            self.host.note_sent_rated(&selected.upstream);
         }
-        let guard = AttemptGuard::begin(&self.host, &found.upstream, found.held.take());
-        let bytes = self.encode(&found.upstream, now_ms);
-        Ok(Sending { found, connection, bytes, guard, sent_ms: now_ms, is_trial })
+        let guard = AttemptGuard::begin(&self.host, &selected.upstream, selected.placement.take());
+        let bytes = self.encode(&selected.upstream, now_ms);
+        Ok(Attempt { selected, connection, bytes, guard, sent_ms: now_ms, is_trial })
     }
 
-    fn note_begin(&self, found: &Found, now_ms: Millis, sending: u32) {
+    fn log_attempt(&self, selected: &Selected, now_ms: Millis, sending: u32) {
         self.host.metrics.sent(sending > 1);
         let (is_other_zone, warmth) = {
             let upstreams = self.host.upstreams.borrow();
-            let known = upstreams.get(&found.upstream);
-            (upstreams.is_other_zone(&found.upstream), known.map(|known| known.warmth(now_ms)))
+            let known = upstreams.get(&selected.upstream);
+            (upstreams.is_other_zone(&selected.upstream), known.map(|known| known.warmth(now_ms)))
         };
         self.host.log.write(&LogEvent::Chosen {
             id: &self.id,
-            upstream: &found.upstream,
-            expected_work: rounded(found.work),
-            cost: rounded(found.cost),
-            by: found.by.clone(),
-            report_age_ms: found.report_age_ms,
-            waited_ms: now_ms.since(found.sought_ms),
+            upstream: &selected.upstream,
+            expected_work: rounded(selected.work),
+            cost: rounded(selected.cost),
+            by: selected.by.clone(),
+            report_age_ms: selected.report_age_ms,
+            waited_ms: now_ms.since(selected.begun_ms),
             is_other_zone,
             warmth,
         });
         self.host.log.write(&LogEvent::Sent {
             id: &self.id,
-            upstream: &found.upstream,
+            upstream: &selected.upstream,
             sending,
             left_ms: self.end_ms.since(now_ms),
         });
@@ -153,27 +154,27 @@
 
     fn encode(&self, upstream: &UpstreamId, now_ms: Millis) -> Vec<u8> {
         let left_ms = self.end_ms.since(now_ms).0.max(1).to_string();
-        let marks = [
+        let headers = [
             (self.host.dialect.deadline_ms, left_ms.as_str()),
             (self.host.dialect.expected_upstream, upstream.as_str()),
         ];
-        write_request(&self.request.head, &self.request.body, &marks)
+        write_request(&self.request.head, &self.request.body, &headers)
     }
 
-    async fn send(&self, sending: Sending) -> Ended {
-        let Sending { found, mut connection, bytes, guard, sent_ms, is_trial } = sending;
+    async fn send(&self, attempt: Attempt) -> EndedAttempt {
+        let Attempt { selected, mut connection, bytes, guard, sent_ms, is_trial } = attempt;
         let expected = Expected {
             has_body: self.request.head.method != "HEAD",
             id: Some((self.host.dialect.request_id, &self.id)),
             read_timeouts: None,
         };
         let result = tokio::select! {
-            // What has come by then is an answer all the same.
+            // A response that arrived completely counts even if the upstream has restarted since.
             biased;
             result = connection.exchange(&bytes, expected) => result,
-            () = guard.run_over() => Err(ExchangeError::Broken),
+            () = guard.upstream_restarted() => Err(ExchangeError::Broken),
         };
-        let Found { upstream, work, .. } = found;
+        let Selected { upstream, work, .. } = selected;
         let (end, answer) = match result {
             Ok(answer) => (End::Answered(self.answered(&answer)), Some(answer)),
             Err(ExchangeError::NotSent) => (End::NotSent, None),
@@ -204,12 +205,12 @@
             Some(upstream) if end == End::Broken => {
                 let fingerprint = self.fingerprint();
                 let broken = BrokenOff { fingerprint, upstream, sent_ms, broke_ms };
-                // A look that failed is a fault of ours, and says nothing of the upstream.
+                // A failed task is a fault in this process, not evidence of a crash.
                 quarantine::examine(&self.host, broken).await.unwrap_or(false)
             }
             _ => false,
         };
-        Ended { upstream, end, answer, sent_ms, has_crashed, is_trial }
+        EndedAttempt { upstream, end, answer, sent_ms, has_crashed, is_trial }
     }
 
     fn answered(&self, answer: &Response) -> Answered {
@@ -222,7 +223,7 @@
     }
 }
 
-/// Two places are enough for logs.
+/// Rounds to two decimal places for logs.
 fn rounded(figure: f64) -> f64 {
     (figure * 100.0).round() / 100.0
 }
--- a/crates/gateway/src/serve/attempt_end.rs
+++ b/crates/gateway/src/serve/attempt_end.rs
@@ -1,7 +1,7 @@
-//! What follows on a sending that came to its end.
+//! Decides what follows the end of an attempt: deliver its response, retry, or refuse.
 
-use super::attempt::SendingCounts;
-use super::{Reply, Serving};
+use super::attempt::AttemptCounts;
+use super::{Reply, RoutedRequest};
 use crate::connection::Response;
 use crate::event_log::LogEvent;
 use crate::host::duration;
@@ -9,33 +9,33 @@
 use dispatch::attempts::{self, AttemptState, Cause, End, Next, Refusal};
 use domain::{Millis, UpstreamId};
 
-/// How a sending ended.
-pub(super) struct Ended {
+/// An attempt that ended.
+pub(super) struct EndedAttempt {
     pub(super) upstream: UpstreamId,
     pub(super) end: End,
     pub(super) answer: Option<Response>,
     pub(super) sent_ms: Millis,
-    /// The upstream crashed under it.
+    /// The upstream crashed during the attempt.
     pub(super) has_crashed: bool,
     pub(super) is_trial: bool,
 }
 
-/// An upstream's own failure, kept while the request is sent once more.
+/// An upstream's own error response, kept while the request is retried.
 pub(super) struct KeptFailure {
     pub(super) upstream: UpstreamId,
     pub(super) answer: Response,
 }
 
-impl Serving {
-    /// What follows on an ended sending; none to send again.
-    pub(super) fn settle(
+impl RoutedRequest {
+    /// Returns the request's outcome, or none if it is to be retried.
+    pub(super) fn handle_end(
         &self,
-        ended: Ended,
-        counts: &mut SendingCounts,
+        ended: EndedAttempt,
+        counts: &mut AttemptCounts,
         kept: &mut Option<KeptFailure>,
     ) -> Option<Result<Reply, Refusal>> {
         let now_ms = self.host.now_ms();
-        self.note_for_quarantine(ended.end, ended.is_trial);
+        self.update_quarantine(ended.end, ended.is_trial);
         counts.crashes += u32::from(ended.has_crashed);
         if attempts::is_not_run(ended.end) {
             counts.not_run += 1;
@@ -43,25 +43,25 @@
         if ended.end == End::NotSent {
             counts.arrived -= 1;
         }
-        self.note_failure(&ended, now_ms);
-        let needs_repeat = counts.arrived > 0;
+        self.log_failure(&ended, now_ms);
+        let uses_retry_budget = counts.arrived > 0;
         let state = AttemptState {
             repeat: self.route().repeat,
             may_have_run: counts.may_have_run(),
             sent: counts.sent,
             attempts: self.route().attempts,
             left_ms: self.end_ms.since(now_ms),
-            is_budget_spent: needs_repeat
+            is_budget_spent: uses_retry_budget
                 && self.host.repeats.borrow().left(self.host.now_ms(), &self.service) < 1.0,
         };
         match (attempts::next(state, ended.end), ended.answer) {
             (Next::Deliver, Some(answer)) => {
                 Some(Ok(self.deliver(&ended.upstream, answer, counts)))
             }
-            // Only answers are delivered.
+            // Unreachable: only an attempt with a response is delivered.
             (Next::Deliver, None) => Some(Err(Refusal::unknown(Cause::UpstreamFailed))),
             (Next::SendAgain, answer) => {
-                if needs_repeat {
+                if uses_retry_budget {
                     self.host.repeats.borrow_mut().take(now_ms, &self.service);
                 }
                 if let (Some(answer), true) = (answer, is_own_failure(ended.end)) {
@@ -77,7 +77,7 @@
         &self,
         upstream: &UpstreamId,
         answer: Response,
-        counts: &SendingCounts,
+        counts: &AttemptCounts,
     ) -> Reply {
         let after_ms = self.host.now_ms().since(self.request.arrived_ms);
         self.host.metrics.answered(&self.route().name, answer.head.status, duration(after_ms));
@@ -92,7 +92,7 @@
         Reply::Response(answer)
     }
 
-    fn note_failure(&self, ended: &Ended, now_ms: Millis) {
+    fn log_failure(&self, ended: &EndedAttempt, now_ms: Millis) {
         let Some(failure) = failure_of(ended.end) else { return };
         self.host.log.write(&LogEvent::SendFailed {
             id: &self.id,
--- a/crates/gateway/src/serve/attempt_guard.rs
+++ b/crates/gateway/src/serve/attempt_guard.rs
@@ -1,4 +1,4 @@
-//! What is known of an upstream follows each sending, also one that is dropped midway.
+//! Records each attempt's start and end in the state of its upstream, also if it is cancelled.
 
 use crate::backpressure;
 use crate::host::Host;
@@ -12,53 +12,55 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// A sending that is withdrawn after so long was no good: its upstream is silent or slow.
-const SILENT_MS: Millis = Millis(400);
+/// An attempt that is cancelled after this time counts as a failure: the upstream is unresponsive
+/// or slow.
+const UNRESPONSIVE_MS: Millis = Millis(400);
 
-/// A sending in progress at an upstream, until it ends or is withdrawn.
+/// An attempt in flight at an upstream, until it ends or is cancelled.
 ///
-/// What is learned goes to the scheduler that placed it, and to this host's own knowledge
-/// unless that is the same.
+/// Its outcome goes to the scheduler that placed the request, and to this host's own state unless
+/// this host is that scheduler.
 pub(super) struct AttemptGuard {
     host: Rc<Host>,
     upstream: UpstreamId,
-    /// What was published of it then; none if it was gone already.
+    /// The upstream's published entry when the attempt began; none if it had been removed.
     entry: Option<Arc<Upstream>>,
-    /// The run that it was sent to.
+    /// The run of the upstream that it was sent to.
     run: RunStart,
     begun_ms: Millis,
-    held: Option<PlacementGuard>,
+    placement: Option<PlacementGuard>,
     is_ended: bool,
 }
 
 impl AttemptGuard {
-    /// A request leaves for an upstream.
+    /// Records that a request is sent to an upstream.
     pub(super) fn begin(
         host: &Rc<Host>,
         upstream: &UpstreamId,
-        mut held: Option<PlacementGuard>,
+        mut placement: Option<PlacementGuard>,
     ) -> AttemptGuard {
-        held.iter_mut().for_each(PlacementGuard::note_sent);
+        placement.iter_mut().for_each(PlacementGuard::note_sent);
         let begun_ms = host.now_ms();
         let entry = host.upstreams.borrow().get(upstream).map(|known| Arc::clone(&known.entry));
         let run = entry.as_ref().map(|entry| entry.run).unwrap_or_default();
         let (host, upstream) = (Rc::clone(host), upstream.clone());
-        let sending = AttemptGuard { host, upstream, entry, run, begun_ms, held, is_ended: false };
-        match sending.host.upstreams.borrow_mut().get_mut(&sending.upstream) {
-            Some(known) if sending.is_noted_here() => known.note_sent(begun_ms),
+        let attempt =
+            AttemptGuard { host, upstream, entry, run, begun_ms, placement, is_ended: false };
+        match attempt.host.upstreams.borrow_mut().get_mut(&attempt.upstream) {
+            Some(known) if attempt.updates_own_state() => known.note_sent(begun_ms),
             _ => {}
         }
-        sending
+        attempt
     }
 
-    /// What was published of the upstream as it was sent there.
+    /// The upstream's published entry when the attempt began.
     pub(super) fn entry(&self) -> Option<Arc<Upstream>> {
         self.entry.clone()
     }
 
-    /// Returns once the upstream has started again: the run that has the request is over, and
-    /// no answer of it can come any more.
-    pub(super) async fn run_over(&self) {
+    /// Returns once the upstream has restarted: the run that the request was sent to has ended, so
+    /// no response to it can arrive.
+    pub(super) async fn upstream_restarted(&self) {
         if self.run == RunStart::default() {
             return std::future::pending().await;
         }
@@ -71,26 +73,26 @@
         }
     }
 
-    /// It came to its end.
+    /// Records that the attempt ended.
     pub(super) fn end(mut self, service: &ServiceName, work: f64, outcome: Outcome) {
         self.is_ended = true;
-        // Before the scheduler, which takes it from this host.
+        // Before the outcome goes to a scheduler on this host, which reads what is recorded here.
         let (at, kind) = ((&self.upstream, self.run), outcome.answer_kind());
         backpressure::note(&self.host, at, kind, outcome.backpressure);
-        if self.is_noted_here() {
-            self.note_end(outcome);
+        if self.updates_own_state() {
+            self.record_end(outcome);
             if outcome.failure.is_none() {
                 let mut upstreams = self.host.upstreams.borrow_mut();
                 upstreams.note_duration(service, outcome.took_ms, work);
             }
         }
-        if let Some(held) = self.held.take() {
-            held.end(outcome);
+        if let Some(placement) = self.placement.take() {
+            placement.end(outcome);
         }
     }
 
-    fn note_end(&self, outcome: Outcome) {
-        // Before the end: the load that an answer tells counts the request that is answered.
+    fn record_end(&self, outcome: Outcome) {
+        // Before the end: the load that a response reports includes the request itself.
         if let Some(report) = outcome.report {
             probe::note_report(&self.host, (&self.upstream, self.run), report);
         }
@@ -101,25 +103,26 @@
         }
     }
 
-    /// Where this host placed it as scheduler, it was noted then.
-    fn is_noted_here(&self) -> bool {
-        self.held.as_ref().is_none_or(|held| !held.is_own())
+    /// Whether this host's own state follows the attempt; if this host placed the request as its
+    /// scheduler, the scheduler does so.
+    fn updates_own_state(&self) -> bool {
+        self.placement.as_ref().is_none_or(|placement| !placement.is_own())
     }
 
     fn withdraw(&mut self) {
         let took_ms = self.host.now_ms().since(self.begun_ms);
-        if took_ms > SILENT_MS {
+        if took_ms > UNRESPONSIVE_MS {
             let failure = Some(SendFailure::Silent);
             let outcome =
                 Outcome { failure, took_ms, report: None, backpressure: Backpressure::default() };
-            if self.is_noted_here() {
-                self.note_end(outcome);
+            if self.updates_own_state() {
+                self.record_end(outcome);
             }
-            if let Some(held) = self.held.take() {
-                held.end(outcome);
+            if let Some(placement) = self.placement.take() {
+                placement.end(outcome);
             }
-        } else if self.is_noted_here() {
-            // A place that is held is given back as it is dropped.
+        } else if self.updates_own_state() {
+            // A placement is released when its guard is dropped.
             let mut upstreams = self.host.upstreams.borrow_mut();
             if let Some(known) = upstreams.get_run_mut(&self.upstream, self.run) {
                 known.note_withdrawn();
--- a/crates/gateway/src/serve/selection.rs
+++ b/crates/gateway/src/serve/selection.rs
@@ -1,10 +1,11 @@
-//! How a request finds its upstream.
+//! Selects an upstream for a request, and opens a connection to it.
 //!
-//! In calm times an idle upstream next door takes it. Else the scheduler of its service places
-//! it, and where none answers, this host asks upstreams by itself and takes the best offer.
+//! While no requests wait for a placement, an idle upstream of the local zone takes the request.
+//! Otherwise the scheduler of its service places it; if no scheduler answers, this host probes
+//! upstreams itself and takes the best one.
 
-use super::Serving;
-use super::attempt::SendingCounts;
+use super::RoutedRequest;
+use super::attempt::AttemptCounts;
 use crate::connection::Connection;
 use crate::event_log::{ChosenBy, LogEvent};
 use crate::host::duration;
@@ -15,90 +16,90 @@
 use dispatch::{DeadlineCheck, Offer, Verdict};
 use domain::{Millis, UpstreamId, ZoneName};
 
-/// Time between the choice and the sending past which the world is looked at again.
-const STALE_CHOICE_MS: Millis = Millis(40);
+/// If selecting and connecting took longer than this, the caller's connection is checked again.
+const STALE_SELECTION_MS: Millis = Millis(40);
 
-/// Most upstreams that are tried for one request, whatever becomes of it.
+/// Most upstreams that are tried for one request.
 const MAX_TRIED: usize = 8;
 
-/// An upstream that takes the request.
+/// An upstream that was selected for a request.
 #[derive(Debug)]
-pub(super) struct Found {
+pub(super) struct Selected {
     pub(super) upstream: UpstreamId,
-    /// The place there, if a scheduler gave it.
-    pub(super) held: Option<PlacementGuard>,
-    /// How long it would take, in times of the usual.
+    /// The placement, if a scheduler made it.
+    pub(super) placement: Option<PlacementGuard>,
+    /// Expected duration, as a multiple of the service's average.
     pub(super) work: f64,
-    /// By which it was compared.
+    /// Cost by which it was compared with others.
     pub(super) cost: f64,
-    /// Age of what it last told.
+    /// Age of its last load report.
     pub(super) report_age_ms: Option<Millis>,
-    /// When the search began.
-    pub(super) sought_ms: Millis,
-    /// Who chose it.
+    /// When the selection began.
+    pub(super) begun_ms: Millis,
+    /// What chose it.
     pub(super) by: ChosenBy,
-    /// The connection on which it just answered, if it was asked.
+    /// The connection on which it answered a probe, if it was probed.
     connection: Option<Connection>,
 }
 
-impl Serving {
-    /// Finds an upstream and a connection to it; refuses if there is none or no time left.
-    pub(super) async fn find_in_time(
+impl RoutedRequest {
+    /// Selects an upstream and connects to it; refuses if there is none or no time left.
+    pub(super) async fn select_in_time(
         &self,
-        counts: &mut SendingCounts,
-    ) -> Result<(Found, Connection), Refusal> {
+        counts: &mut AttemptCounts,
+    ) -> Result<(Selected, Connection), Refusal> {
         let left = self.host.clock.until(self.end_ms);
-        match clock::timeout(left, self.find(counts)).await {
-            Ok(found) => found,
-            Err(_) => Err(out_of_time(counts)),
+        match clock::timeout(left, self.select(counts)).await {
+            Ok(selected) => selected,
+            Err(_) => Err(deadline_refusal(counts)),
         }
     }
 
-    async fn find(&self, counts: &mut SendingCounts) -> Result<(Found, Connection), Refusal> {
+    async fn select(&self, counts: &mut AttemptCounts) -> Result<(Selected, Connection), Refusal> {
         while counts.tried.len() < MAX_TRIED {
             let begun_ms = self.host.now_ms();
             self.check_time(begun_ms, counts)?;
-            let found = self.find_upstream(begun_ms, counts).await?;
+            let selected = self.select_upstream(begun_ms, counts).await?;
             self.check_time(self.host.now_ms(), counts)?;
-            let Some(mut found) = found else { break };
-            let connection = match found.connection.take() {
+            let Some(mut selected) = selected else { break };
+            let connection = match selected.connection.take() {
                 Some(connection) => Some(connection),
-                None => probe::connect(&self.host, &found.upstream, self.route().repeat).await,
+                None => probe::connect(&self.host, &selected.upstream, self.route().repeat).await,
             };
-            if self.host.now_ms().since(begun_ms) > STALE_CHOICE_MS {
+            if self.host.now_ms().since(begun_ms) > STALE_SELECTION_MS {
                 self.check_caller().await;
             }
             match connection {
-                Some(connection) if self.may_send(&found) => {
+                Some(connection) if self.may_send(&selected) => {
                     if probe::is_trusted(&connection, self.route().repeat) {
-                        return Ok((found, connection));
+                        return Ok((selected, connection));
                     }
-                    self.host.pool.borrow_mut().put(&found.upstream, connection);
+                    self.host.pool.borrow_mut().put(&selected.upstream, connection);
                 }
                 connection => {
                     if connection.is_none() {
-                        found.held.iter_mut().for_each(PlacementGuard::note_unreachable);
+                        selected.placement.iter_mut().for_each(PlacementGuard::note_unreachable);
                     }
-                    counts.tried.push(found.upstream);
+                    counts.tried.push(selected.upstream);
                 }
             }
         }
-        Err(self.none_found(counts))
+        Err(self.no_upstream_refusal(counts))
     }
 
-    /// Looked at again as a request leaves: what was true when the upstream was chosen may have
-    /// changed while the connection was opened.
-    fn may_send(&self, found: &Found) -> bool {
+    /// Checks again right before sending: the upstream's state may have changed while the
+    /// connection was opened.
+    fn may_send(&self, selected: &Selected) -> bool {
         let upstreams = self.host.upstreams.borrow();
-        let is_allowed = match found.held {
-            // Of the rate its scheduler took account.
-            Some(_) => upstreams.backs_off(self.host.now_ms(), &found.upstream).is_none(),
-            None => self.host.may_send(&upstreams, &found.upstream),
+        let is_allowed = match selected.placement {
+            // The scheduler has already counted the request against the upstream's rate limit.
+            Some(_) => upstreams.backs_off(self.host.now_ms(), &selected.upstream).is_none(),
+            None => self.host.may_send(&upstreams, &selected.upstream),
         };
-        upstreams.takes_work(&found.upstream) && is_allowed
+        upstreams.takes_work(&selected.upstream) && is_allowed
     }
 
-    fn none_found(&self, counts: &SendingCounts) -> Refusal {
+    fn no_upstream_refusal(&self, counts: &AttemptCounts) -> Refusal {
         let upstreams = self.host.upstreams.borrow();
         let free_in_ms = upstreams.free_in(self.host.now_ms(), &self.service);
         match (counts.may_have_run() > 0, free_in_ms) {
@@ -111,40 +112,42 @@
         }
     }
 
-    /// An idle upstream next door, the scheduler's choice, or the best of those asked; none if
-    /// there is none to ask.
-    async fn find_upstream(
+    /// Returns an idle upstream of the local zone, the scheduler's choice, or the best of those
+    /// probed; none if there is none to probe.
+    async fn select_upstream(
         &self,
         begun_ms: Millis,
-        counts: &SendingCounts,
-    ) -> Result<Option<Found>, Refusal> {
-        if let Some(neighbour) = self.idle_neighbour(begun_ms, counts).await {
-            return Ok(Some(neighbour));
+        counts: &AttemptCounts,
+    ) -> Result<Option<Selected>, Refusal> {
+        if let Some(local) = self.find_idle_local(begun_ms, counts).await {
+            return Ok(Some(local));
         }
         match self.place(counts).await {
-            Placement::Placed(held, place) => Ok(Some(self.placed(held, place, begun_ms))),
+            Placement::Placed(placement, place) => {
+                Ok(Some(self.selected_by_scheduler(placement, place, begun_ms)))
+            }
             Placement::Refused(RefusalCause::NoRoom { retry_after_ms, ahead }) => {
-                Err(self.no_room(retry_after_ms, ahead, counts))
+                Err(self.no_capacity_refusal(retry_after_ms, ahead, counts))
             }
             Placement::Refused(RefusalCause::NoUpstream) | Placement::Unanswered => {
-                self.ask(begun_ms, counts).await
+                self.probe(begun_ms, counts).await
             }
         }
     }
 
-    /// In calm times a first sending needs no scheduler: its way would be the longest part.
-    /// Without it a quiet day was worth 0.881 in place of 0.907 where bytes between zones are dear.
-    async fn idle_neighbour(&self, begun_ms: Millis, counts: &SendingCounts) -> Option<Found> {
+    /// Finds an idle upstream of the local zone. Only for a first attempt while no requests wait:
+    /// the round trip to the scheduler would take most of the time, and may cross zones.
+    async fn find_idle_local(&self, begun_ms: Millis, counts: &AttemptCounts) -> Option<Selected> {
         if counts.sent > 0 || self.host.placement.is_busy(&self.service, begun_ms) {
             return None;
         }
         let chosen = probe::choose_idle_neighbour(&self.host, &self.service).await?;
-        Some(self.chosen(chosen, begun_ms))
+        Some(self.selected_by_probe(chosen, begun_ms))
     }
 
-    /// Has the scheduler of the own availability zone place it, or where that has no room that
-    /// of another one.
-    async fn place(&self, counts: &SendingCounts) -> Placement {
+    /// Has the scheduler of the local availability zone place the request, or that of another
+    /// zone if the local one has no capacity.
+    async fn place(&self, counts: &AttemptCounts) -> Placement {
         if self.host.is_partial() {
             return Placement::Unanswered;
         }
@@ -153,11 +156,11 @@
             let (upstreams, mut rng) = (self.host.upstreams.borrow(), self.host.rng.borrow_mut());
             Cell::of(&self.service, &zone, &upstreams, &mut rng)
         };
-        let asked_zone = cell.zone.clone();
+        let first_zone = cell.zone.clone();
         let placement = placement::place(&self.host, cell, self.submission(&zone, counts)).await;
-        // Its zone has no room, or none that can be reached.
+        // The zone has no capacity, or no upstream that can be reached.
         let has_no_room = matches!(placement, Placement::Refused(_));
-        match asked_zone.and_then(|asked| self.other_zone(&asked)) {
+        match first_zone.and_then(|first| self.other_zone(&first)) {
             Some(other) if has_no_room => {
                 let cell = Cell { service: self.service.clone(), zone: Some(other) };
                 placement::place(&self.host, cell, self.submission(&zone, counts)).await
@@ -174,7 +177,7 @@
     fn submission(
         &self,
         zone: &ZoneName,
-        counts: &SendingCounts,
+        counts: &AttemptCounts,
     ) -> impl FnOnce(Ticket, Cell) -> Submission {
         let now_ms = self.host.now_ms();
         let route = self.route();
@@ -197,19 +200,29 @@
         }
     }
 
-    fn placed(&self, held: PlacementGuard, place: Place, sought_ms: Millis) -> Found {
+    fn selected_by_scheduler(
+        &self,
+        placement: PlacementGuard,
+        place: Place,
+        begun_ms: Millis,
+    ) -> Selected {
         let Place { upstream, work, cost, report_age_ms, ahead } = place;
         let (work, cost) = (f64::from(work), f64::from(cost));
         let by = ChosenBy::Scheduler {
-            scheduler: held.scheduler().clone(),
-            ticket: held.ticket(),
+            scheduler: placement.scheduler().clone(),
+            ticket: placement.ticket(),
             ahead,
         };
-        let held = Some(held);
-        Found { upstream, held, work, cost, report_age_ms, sought_ms, by, connection: None }
+        let placement = Some(placement);
+        Selected { upstream, placement, work, cost, report_age_ms, begun_ms, by, connection: None }
     }
 
-    fn no_room(&self, retry_after_ms: Millis, ahead: usize, counts: &SendingCounts) -> Refusal {
+    fn no_capacity_refusal(
+        &self,
+        retry_after_ms: Millis,
+        ahead: usize,
+        counts: &AttemptCounts,
+    ) -> Refusal {
         self.host.log.write(&LogEvent::Unplaced { id: &self.id, ahead, retry_after_ms });
         match counts.may_have_run() > 0 {
             true => Refusal::unknown(Cause::UpstreamFailed),
@@ -217,19 +230,19 @@
         }
     }
 
-    /// Asks upstreams until one offers to be in time; none if there is none to ask.
-    async fn ask(
+    /// Probes upstreams until one is expected to respond in time; none if there is none to probe.
+    async fn probe(
         &self,
-        sought_ms: Millis,
-        counts: &SendingCounts,
-    ) -> Result<Option<Found>, Refusal> {
+        begun_ms: Millis,
+        counts: &AttemptCounts,
+    ) -> Result<Option<Selected>, Refusal> {
         loop {
             let chosen = probe::choose(&self.host, &self.service, &counts.tried).await;
             let now_ms = self.host.now_ms();
             self.check_time(now_ms, counts)?;
             let Some(chosen) = chosen else { return Ok(None) };
             match self.weigh(now_ms, &chosen, counts) {
-                Verdict::Take => return Ok(Some(self.chosen(chosen, sought_ms))),
+                Verdict::Take => return Ok(Some(self.selected_by_probe(chosen, begun_ms))),
                 Verdict::AskAgain(pause_ms) => {
                     chosen.put_back(&self.host);
                     clock::sleep(duration(pause_ms)).await;
@@ -239,25 +252,26 @@
         }
     }
 
-    fn chosen(&self, chosen: Chosen, sought_ms: Millis) -> Found {
+    fn selected_by_probe(&self, chosen: Chosen, begun_ms: Millis) -> Selected {
         let Chosen { upstream, connection, work, cost, asked, answered } = chosen;
         let now_ms = self.host.now_ms();
         let upstreams = self.host.upstreams.borrow();
         let report = upstreams.get(&upstream).and_then(|known| known.report(now_ms));
-        Found {
+        Selected {
             upstream,
-            held: None,
+            placement: None,
             work,
             cost,
             report_age_ms: report.map(|(_, age_ms)| age_ms),
-            sought_ms,
+            begun_ms,
             by: ChosenBy::Asking { asked, answered },
             connection,
         }
     }
 
-    /// Only a first sending is kept back: what was sent once has lost its time already.
-    fn weigh(&self, now_ms: Millis, chosen: &Chosen, counts: &SendingCounts) -> Verdict {
+    /// Checks whether the upstream is expected to respond in time. Only a first attempt may be
+    /// delayed or refused: a retry has already lost time.
+    fn weigh(&self, now_ms: Millis, chosen: &Chosen, counts: &AttemptCounts) -> Verdict {
         if counts.sent > 0 {
             return Verdict::Take;
         }
@@ -282,23 +296,24 @@
         verdict
     }
 
-    /// After a pause of this process the caller may be gone without our knowing. It never
-    /// returns then: the request is withdrawn by whoever reads the caller's connection.
+    /// Checks whether the caller disconnected unnoticed while this process was paused. If so, it
+    /// never returns: the task that reads the caller's connection cancels the request.
     async fn check_caller(&self) {
         if self.caller.is_gone_now() && !self.progress.continues_without_caller.get() {
             std::future::pending::<()>().await;
         }
     }
 
-    pub(super) fn check_time(&self, now_ms: Millis, counts: &SendingCounts) -> Result<(), Refusal> {
+    /// Refuses the request if its deadline has passed.
+    pub(super) fn check_time(&self, now_ms: Millis, counts: &AttemptCounts) -> Result<(), Refusal> {
         match now_ms < self.end_ms {
             true => Ok(()),
-            false => Err(out_of_time(counts)),
+            false => Err(deadline_refusal(counts)),
         }
     }
 }
 
-fn out_of_time(counts: &SendingCounts) -> Refusal {
+fn deadline_refusal(counts: &AttemptCounts) -> Refusal {
     match counts.may_have_run() > 0 {
         true => Refusal::unknown(Cause::TimedOut),
         false => Refusal::not_run(Cause::Expired),
