--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -1,10 +1,10 @@
-//! Asking upstreams just before a request is sent.
+//! Probes upstreams just before a request is sent.
 //!
-//! What is known of an upstream is worth nothing after some hundred milliseconds, and a
-//! host sees too few answers to know more. So a few candidates are asked for their load on
-//! their health path, and the best takes the request, on the very connection that just
-//! answered: that also proves the connection alive. A question that isn't answered in time
-//! goes on in the background and is learned from.
+//! A load report is outdated after some hundred milliseconds, and one host receives too few
+//! responses to stay up to date. So a few candidates are probed for their load on their health
+//! path, and the best one takes the request on the connection that it just answered on, which is
+//! thereby known to be alive. A probe that isn't answered in time goes on in the background, and
+//! its result is recorded.
 
 mod connect;
 mod health_check;
@@ -17,53 +17,53 @@
 use clock::Moment;
 use dispatch::{ASKED_AT_ONCE, AT_ONCE, Candidate, GOOD_ENOUGH, ROUNDS, Reach, UNWELL_COST};
 use domain::{ServiceName, UpstreamId};
-use health_check::{CheckBudget, ask_within_limit, may_ask};
+use health_check::{ProbeBudgetKind, probe_within_limit, take_probe};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Once one upstream answered, the others are waited for so long: a round trip between
-/// availability zones, with a new connection.
-const OTHERS: Duration = Duration::from_millis(5);
+/// After the first response, how long the others are waited for: a round trip between availability
+/// zones, with a new connection.
+const MORE_RESPONSES: Duration = Duration::from_millis(5);
 
-/// Longest wait for the first answer.
-const FIRST: Duration = Duration::from_millis(120);
+/// Longest wait for the first response.
+const FIRST_RESPONSE: Duration = Duration::from_millis(120);
 
-/// The upstream that takes a request.
+/// The upstream that was chosen for a request.
 #[derive(Debug)]
 pub struct Chosen {
-    /// Its id.
+    /// Id of the upstream.
     pub upstream: UpstreamId,
-    /// The connection on which it answered; none if it was not asked.
+    /// The connection on which it answered; none if it was not probed.
     pub connection: Option<Connection>,
-    /// How long it would take, in times of the usual.
+    /// Expected duration, as a multiple of the service's average.
     pub work: f64,
-    /// By which it was compared.
+    /// Cost by which it was compared with others.
     pub cost: f64,
-    /// How many were asked.
+    /// Number of upstreams probed.
     pub asked: usize,
-    /// How many answered.
+    /// Number of upstreams that answered.
     pub answered: usize,
 }
 
 #[derive(Debug)]
-struct Asked {
+struct Probed {
     upstream: UpstreamId,
-    heard: Heard,
+    result: ProbeResult,
 }
 
-/// What came of asking an upstream.
+/// The result of probing an upstream.
 #[derive(Debug)]
-enum Heard {
-    /// It answered on this connection.
+enum ProbeResult {
+    /// The upstream answered on this connection.
     Response { connection: Connection, is_well: bool },
-    /// No question was left: what is remembered has to do.
-    NotAsked,
-    /// It can't be reached, or is another one.
+    /// The probe budget was spent: the upstream is judged by earlier reports.
+    NotProbed,
+    /// The upstream can't be reached, or another upstream has its address.
     Failure,
 }
 
-/// Asks candidates of a service and chooses one.
+/// Probes candidates of a service in rounds, and chooses the one with the lowest cost.
 pub async fn choose(
     host: &Rc<Host>,
     service: &ServiceName,
@@ -78,7 +78,7 @@
             break;
         }
         asked += candidates.len();
-        let (chosen, replies) = ask_round(host, service, candidates, CheckBudget::Own).await;
+        let (chosen, replies) = probe_round(host, service, candidates, ProbeBudgetKind::Own).await;
         answered += replies;
         best = better(host, best, chosen);
         if best.as_ref().is_some_and(|best| best.cost <= GOOD_ENOUGH) {
@@ -89,7 +89,7 @@
 }
 
 impl Chosen {
-    /// It is not taken: its connection waits for its next use.
+    /// Returns the connection to the pool; the upstream is not used.
     pub fn put_back(self, host: &Host) {
         if let Some(connection) = self.connection {
             host.pool.borrow_mut().put(&self.upstream, connection);
@@ -97,8 +97,8 @@
     }
 }
 
-/// Asks upstreams of the own availability zone, and takes one that is idle and not slowed.
-pub async fn choose_idle_neighbour(host: &Rc<Host>, service: &ServiceName) -> Option<Chosen> {
+/// Probes upstreams of the local availability zone, and returns one that is idle and not slowed.
+pub async fn choose_idle_local(host: &Rc<Host>, service: &ServiceName) -> Option<Chosen> {
     let candidates: Vec<UpstreamId> = {
         let upstreams = host.upstreams.borrow();
         let mut rng = host.rng.borrow_mut();
@@ -114,7 +114,8 @@
         return None;
     }
     let asked = candidates.len();
-    let (chosen, answered) = ask_round(host, service, candidates, CheckBudget::Neighbours).await;
+    let (chosen, answered) =
+        probe_round(host, service, candidates, ProbeBudgetKind::LocalZone).await;
     let chosen = chosen?;
     if chosen.connection.is_some() && chosen.cost <= AT_ONCE {
         return Some(Chosen { asked, answered, ..chosen });
@@ -134,7 +135,7 @@
     let pool = host.pool.borrow();
     let is_connected = |id: &UpstreamId| pool.holds(id);
     let now_ms = host.now_ms();
-    // What is held back now may be asked in a later round.
+    // Upstreams held back now may be probed in a later round.
     let mut left_out = [excluded.clone(), host.held_back(&upstreams, service)].concat();
     let mut candidates = Vec::new();
     for &part in round {
@@ -160,11 +161,11 @@
     }
 }
 
-async fn ask_round(
+async fn probe_round(
     host: &Rc<Host>,
     service: &ServiceName,
     candidates: Vec<UpstreamId>,
-    budget: CheckBudget,
+    budget: ProbeBudgetKind,
 ) -> (Option<Chosen>, usize) {
     let (replies, mut asked) = mpsc::unbounded_channel();
     let mut open = candidates.len();
@@ -172,46 +173,46 @@
         let (host, service) = (Rc::clone(host), service.clone());
         let replies = replies.clone();
         tokio::task::spawn_local(async move {
-            let reply = ask(&host, &service, upstream, budget).await;
-            if let Err(mpsc::error::SendError(unheard)) = replies.send(reply) {
-                keep(&host, unheard);
+            let reply = probe(&host, &service, upstream, budget).await;
+            if let Err(mpsc::error::SendError(unused)) = replies.send(reply) {
+                return_to_pool(&host, unused);
             }
         });
     }
     drop(replies);
-    let mut until = Moment::now() + FIRST;
+    let mut until = Moment::now() + FIRST_RESPONSE;
     let mut best: Option<Chosen> = None;
     let mut answered = 0;
     while open > 0 {
         let Ok(Some(reply)) = clock::timeout_at(until, asked.recv()).await else { break };
         open -= 1;
-        answered += usize::from(matches!(reply.heard, Heard::Response { .. }));
+        answered += usize::from(matches!(reply.result, ProbeResult::Response { .. }));
         best = better(host, best, weigh(host, reply));
         if best.as_ref().is_some_and(|best| best.cost <= AT_ONCE) {
             break;
         }
         if best.is_some() {
-            until = until.min(Moment::now() + OTHERS);
+            until = until.min(Moment::now() + MORE_RESPONSES);
         }
     }
     asked.close();
     while let Ok(unused) = asked.try_recv() {
-        keep(host, unused);
+        return_to_pool(host, unused);
     }
     (best, answered)
 }
 
-fn keep(host: &Host, asked: Asked) {
-    if let Heard::Response { connection, .. } = asked.heard {
+fn return_to_pool(host: &Host, asked: Probed) {
+    if let ProbeResult::Response { connection, .. } = asked.result {
         host.pool.borrow_mut().put(&asked.upstream, connection);
     }
 }
 
-fn weigh(host: &Host, asked: Asked) -> Option<Chosen> {
-    let (connection, is_well) = match asked.heard {
-        Heard::Response { connection, is_well } => (Some(connection), is_well),
-        Heard::NotAsked => (None, true),
-        Heard::Failure => return None,
+fn weigh(host: &Host, asked: Probed) -> Option<Chosen> {
+    let (connection, is_well) = match asked.result {
+        ProbeResult::Response { connection, is_well } => (Some(connection), is_well),
+        ProbeResult::NotProbed => (None, true),
+        ProbeResult::Failure => return None,
     };
     let upstreams = host.upstreams.borrow();
     if !upstreams.takes_work(&asked.upstream) {
@@ -227,18 +228,18 @@
     Some(Chosen { upstream, connection, work, cost, asked: 0, answered: 0 })
 }
 
-async fn ask(
+async fn probe(
     host: &Rc<Host>,
     service: &ServiceName,
     upstream: UpstreamId,
-    budget: CheckBudget,
-) -> Asked {
-    if !may_ask(host, service, &upstream, budget) {
-        return Asked { upstream, heard: Heard::NotAsked };
+    budget: ProbeBudgetKind,
+) -> Probed {
+    if !take_probe(host, service, &upstream, budget) {
+        return Probed { upstream, result: ProbeResult::NotProbed };
     }
-    let heard = match ask_within_limit(host, service, &upstream).await {
-        Some((connection, is_well)) => Heard::Response { connection, is_well },
-        None => Heard::Failure,
+    let result = match probe_within_limit(host, service, &upstream).await {
+        Some((connection, is_well)) => ProbeResult::Response { connection, is_well },
+        None => ProbeResult::Failure,
     };
-    Asked { upstream, heard }
+    Probed { upstream, result }
 }
--- a/crates/gateway/src/probe/connect.rs
+++ b/crates/gateway/src/probe/connect.rs
@@ -1,7 +1,7 @@
-//! Connections to upstreams that were chosen without being asked.
+//! Connections to upstreams that were chosen without being probed.
 
 use super::health_check::{
-    CheckBudget, exchange, health_path, may_ask, note_failure, note_reply, open,
+    ProbeBudgetKind, exchange, health_path, open, record_failure, record_result, take_probe,
 };
 use crate::connection::Connection;
 use crate::host::Host;
@@ -10,18 +10,18 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest time for an answer on a connection that was idle for long.
-const PROVE_LIMIT: Duration = Duration::from_millis(25);
+/// Longest wait for a response that verifies a connection that was idle for long.
+const VERIFY_LIMIT: Duration = Duration::from_millis(25);
 
-/// Without asking, a connection that was used within this time is taken to be alive.
-const UNASKED_IDLE: Duration = Duration::from_millis(300);
+/// A connection that was used within this time is taken to be alive without a probe.
+const UNPROBED_IDLE: Duration = Duration::from_millis(300);
 
-/// The same for a request that may be sent once more, as long as no question is left to ask:
-/// an upstream states seconds, and a new connection costs a round trip.
-const UNASKED_IDLE_REPEATABLE: Duration = Duration::from_secs(3);
+/// The same for a request that may be retried. Upstreams keep idle connections open for seconds,
+/// and a new connection costs a round trip.
+const UNPROBED_IDLE_IDEMPOTENT: Duration = Duration::from_secs(3);
 
-/// A connection to an upstream that was chosen without being asked. Opened now, not for each
-/// candidate: that halved the connections that a fleet of 110 hosts opened under bursts.
+/// Returns a connection to an upstream that was chosen without being probed. It is opened only
+/// now, so that no connections are opened to candidates that aren't chosen.
 pub async fn connect(host: &Rc<Host>, upstream: &UpstreamId, repeat: Repeat) -> Option<Connection> {
     let run = host.upstreams.borrow().run(upstream);
     let kept = host.pool.borrow_mut().take(upstream, run);
@@ -30,7 +30,7 @@
             return Some(connection);
         }
         Some(connection) => {
-            if let Some(connection) = prove(host, (upstream, run), connection).await {
+            if let Some(connection) = verify(host, (upstream, run), connection).await {
                 return Some(connection);
             }
         }
@@ -39,41 +39,41 @@
     match open(host, upstream).await {
         Ok(connection) => Some(connection),
         Err(failure) => {
-            note_failure(host, (upstream, run), failure);
+            record_failure(host, (upstream, run), failure);
             None
         }
     }
 }
 
-/// Whether a connection was used so lately that it is taken to be alive without asking. Looked at
-/// again as a request leaves: the machine may have been suspended since the connection was chosen.
+/// Whether a connection was used so recently that it is taken to be alive without a probe. Checked
+/// again right before sending: the machine may have been suspended since the connection was chosen.
 pub fn is_trusted(connection: &Connection, repeat: Repeat) -> bool {
     let trusted = match repeat {
-        Repeat::Idempotent => UNASKED_IDLE_REPEATABLE,
-        Repeat::AtMostOnce => UNASKED_IDLE,
+        Repeat::Idempotent => UNPROBED_IDLE_IDEMPOTENT,
+        Repeat::AtMostOnce => UNPROBED_IDLE,
     };
     connection.idle() < trusted
 }
 
-/// Asks on a connection that was idle for long, if a question is left: an answer proves it
-/// alive for a fraction of the price of a new one.
-async fn prove(
+/// Probes on a connection that was idle for long, if the budget allows: that is cheaper than
+/// opening a new one.
+async fn verify(
     host: &Rc<Host>,
     (upstream, run): (&UpstreamId, RunStart),
     mut connection: Connection,
 ) -> Option<Connection> {
     let service = host.upstreams.borrow().get(upstream)?.entry.service.clone();
-    if !may_ask(host, &service, upstream, CheckBudget::Own) {
+    if !take_probe(host, &service, upstream, ProbeBudgetKind::Own) {
         return None;
     }
     let path = health_path(host, &service);
-    let asking = exchange(host, &mut connection, (upstream, run), &path);
-    match clock::timeout(PROVE_LIMIT, asking).await {
+    let probing = exchange(host, &mut connection, (upstream, run), &path);
+    match clock::timeout(VERIFY_LIMIT, probing).await {
         Ok(Ok(is_well)) => {
-            note_reply(host, (upstream, run), is_well);
+            record_result(host, (upstream, run), is_well);
             Some(connection)
         }
-        // It was forgotten; the upstream itself may be sound.
+        // The connection is dead; the upstream itself may be well.
         Ok(Err(_)) | Err(_) => None,
     }
 }
--- a/crates/gateway/src/probe/health_check.rs
+++ b/crates/gateway/src/probe/health_check.rs
@@ -1,4 +1,4 @@
-//! One question to one upstream, and what is noted of it.
+//! One probe of one upstream, and recording its result.
 
 use crate::backpressure;
 use crate::connection::{Connection, Expected};
@@ -14,21 +14,21 @@
 use std::time::Duration;
 
 /// Longest time to open a connection: some round trips between availability zones.
-const CONNECT: Duration = Duration::from_millis(250);
+const CONNECT_LIMIT: Duration = Duration::from_millis(250);
 
-/// Longest time for an answer to a question; after it the upstream counts as silent.
-const ASK_LIMIT: Duration = Duration::from_millis(400);
+/// Longest wait for the response to a probe; after it the upstream counts as unresponsive.
+const PROBE_LIMIT: Duration = Duration::from_millis(400);
 
-/// Which part of the health checks pays for a question.
+/// The budget that a probe is taken from.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum CheckBudget {
-    /// What all hosts share.
+pub(super) enum ProbeBudgetKind {
+    /// Shared by all hosts.
     Own,
-    /// What the hosts of an upstream's availability zone share.
-    Neighbours,
+    /// Shared by the hosts of the upstream's availability zone.
+    LocalZone,
 }
 
-pub(super) fn note_reply(host: &Host, (upstream, run): (&UpstreamId, RunStart), is_well: bool) {
+pub(super) fn record_result(host: &Host, (upstream, run): (&UpstreamId, RunStart), is_well: bool) {
     let now_ms = host.now_ms();
     let mut upstreams = host.upstreams.borrow_mut();
     let Some(known) = upstreams.get_run_mut(upstream, run) else { return };
@@ -38,7 +38,7 @@
     }
 }
 
-pub(super) fn note_failure(
+pub(super) fn record_failure(
     host: &Host,
     (upstream, run): (&UpstreamId, RunStart),
     failure: AskFailure,
@@ -50,77 +50,79 @@
     host.log.write(&LogEvent::AskFailed { upstream, failure });
 }
 
-/// Asks an upstream for the schedulers of this host; false if no question is left.
+/// Probes an upstream for this host's schedulers; false if their probe budget is spent.
 pub async fn refresh(host: &Rc<Host>, upstream: &UpstreamId) -> bool {
-    let may_ask = host.placement.probe_budget.borrow_mut().take(host.now_ms(), upstream, 1.0);
+    let is_allowed = host.placement.probe_budget.borrow_mut().take(host.now_ms(), upstream, 1.0);
     let known = host.upstreams.borrow().get(upstream).map(|known| known.entry.service.clone());
-    let Some(service) = known.filter(|_| may_ask) else { return false };
-    if let Some((connection, _)) = ask_within_limit(host, &service, upstream).await {
+    let Some(service) = known.filter(|_| is_allowed) else { return false };
+    if let Some((connection, _)) = probe_within_limit(host, &service, upstream).await {
         host.pool.borrow_mut().put(upstream, connection);
     }
     true
 }
 
-pub(super) fn may_ask(
+/// Takes a probe of this upstream from the budget; false if it is spent.
+pub(super) fn take_probe(
     host: &Host,
     service: &ServiceName,
     upstream: &UpstreamId,
-    budget: CheckBudget,
+    budget: ProbeBudgetKind,
 ) -> bool {
     let (upstreams, fleet) = (host.upstreams.borrow(), host.fleet_shape());
     let (budget, sharing) = match budget {
-        CheckBudget::Own => (&host.asks, upstreams.sharing_hosts(service, upstream, fleet)),
-        CheckBudget::Neighbours => {
+        ProbeBudgetKind::Own => (&host.asks, upstreams.sharing_hosts(service, upstream, fleet)),
+        ProbeBudgetKind::LocalZone => {
             (&host.neighbours_asks, upstreams.sharing_neighbours(service, fleet))
         }
     };
     budget.borrow_mut().take(host.now_ms(), upstream, sharing)
 }
 
-/// Asks, and notes what came of it; the connection, and whether the upstream is well.
-pub(super) async fn ask_within_limit(
+/// Probes an upstream and records the result; returns the connection, and whether the upstream is
+/// well.
+pub(super) async fn probe_within_limit(
     host: &Rc<Host>,
     service: &ServiceName,
     upstream: &UpstreamId,
 ) -> Option<(Connection, bool)> {
     let run = host.upstreams.borrow().run(upstream);
-    let asking = question(host, service, (upstream, run));
-    let result = clock::timeout(ASK_LIMIT, asking).await;
+    let probing = probe(host, service, (upstream, run));
+    let result = clock::timeout(PROBE_LIMIT, probing).await;
     match result.unwrap_or(Err(AskFailure::Silent)) {
-        Ok(Reply { connection, is_well }) => {
-            note_reply(host, (upstream, run), is_well);
+        Ok(ProbeResponse { connection, is_well }) => {
+            record_result(host, (upstream, run), is_well);
             Some((connection, is_well))
         }
         Err(failure) => {
-            note_failure(host, (upstream, run), failure);
+            record_failure(host, (upstream, run), failure);
             None
         }
     }
 }
 
-struct Reply {
+struct ProbeResponse {
     connection: Connection,
     is_well: bool,
 }
 
-async fn question(
+async fn probe(
     host: &Rc<Host>,
     service: &ServiceName,
     (upstream, run): (&UpstreamId, RunStart),
-) -> Result<Reply, AskFailure> {
+) -> Result<ProbeResponse, AskFailure> {
     let path = health_path(host, service);
     let kept = host.pool.borrow_mut().take(upstream, run);
     if let Some(mut connection) = kept {
         match exchange(host, &mut connection, (upstream, run), &path).await {
-            Ok(is_well) => return Ok(Reply { connection, is_well }),
-            // A kept connection may have been forgotten; a question is harmless to repeat.
+            Ok(is_well) => return Ok(ProbeResponse { connection, is_well }),
+            // An idle connection may be dead; a probe is safe to repeat.
             Err(AskFailure::Unreachable) => {}
             Err(failure) => return Err(failure),
         }
     }
     let mut connection = open(host, upstream).await?;
     let is_well = exchange(host, &mut connection, (upstream, run), &path).await?;
-    Ok(Reply { connection, is_well })
+    Ok(ProbeResponse { connection, is_well })
 }
 
 /// Opens a connection to an upstream.
@@ -128,7 +130,7 @@
     let entry = host.upstreams.borrow().get(upstream).map(|known| Arc::clone(&known.entry));
     let entry = entry.ok_or(AskFailure::Unreachable)?;
     host.metrics.connected();
-    let connection = Connection::open(entry.address, CONNECT).await;
+    let connection = Connection::open(entry.address, CONNECT_LIMIT).await;
     connection.map(|open| open.belonging_to(entry.run)).map_err(|_| AskFailure::Unreachable)
 }
 
@@ -138,6 +140,8 @@
     settings.map_or_else(|| "/healthz".to_owned(), |settings| settings.health_path.clone())
 }
 
+/// Sends a probe on a connection, and records what the response reports; true if the upstream is
+/// well.
 pub(super) async fn exchange(
     host: &Rc<Host>,
     connection: &mut Connection,
@@ -158,31 +162,31 @@
     if let Some(report) = read_load(host, &answer.head.fields) {
         note_report(host, (upstream, run), report);
     }
-    note_cold(host, (upstream, run), &answer.head.fields);
+    record_cold(host, (upstream, run), &answer.head.fields);
     let said = backpressure::read_fields(host, upstream, &answer.head.fields);
     backpressure::note(host, (upstream, run), AnswerKind::HealthCheck, said);
     Ok(answer.head.status == 200)
 }
 
-/// Load that an answer tells, if any.
+/// The load that a response reports, if any.
 pub fn read_load(host: &Host, fields: &HeadFields) -> Option<LoadReport> {
     fields.get(host.dialect.load).and_then(host.dialect.read_load)
 }
 
-/// Notes what a run of an upstream told of its load.
+/// Records a load report of a run of an upstream.
 pub fn note_report(host: &Host, upstream: (&UpstreamId, RunStart), report: LoadReport) {
     let now_ms: Millis = host.now_ms();
     host.upstreams.borrow_mut().note_report(now_ms, upstream, report);
 }
 
-/// Notes whether a run of an upstream is cold, as its answer to a health check tells: one that is
-/// warm leaves the mark out.
-fn note_cold(host: &Host, upstream_run: (&UpstreamId, RunStart), fields: &HeadFields) {
+/// Records whether a run of an upstream is cold, as its response to a probe states: a warm one
+/// leaves the header out.
+fn record_cold(host: &Host, upstream_run: (&UpstreamId, RunStart), fields: &HeadFields) {
     let upstream = upstream_run.0;
-    let told = fields.get(host.dialect.cold_ms);
-    let left_ms = told.and_then(|text| text.parse().ok()).map(Millis);
-    if told.is_some() && left_ms.is_none() {
-        let value = told.unwrap_or_default();
+    let stated = fields.get(host.dialect.cold_ms);
+    let left_ms = stated.and_then(|text| text.parse().ok()).map(Millis);
+    if stated.is_some() && left_ms.is_none() {
+        let value = stated.unwrap_or_default();
         return host.note_unreadable(upstream, host.dialect.cold_ms, value.as_bytes());
     }
     host.upstreams.borrow_mut().note_cold(host.now_ms(), upstream_run, left_ms);
--- a/crates/gateway/src/serve/selection.rs
+++ b/crates/gateway/src/serve/selection.rs
@@ -141,7 +141,7 @@
         if counts.sent > 0 || self.host.placement.is_busy(&self.service, begun_ms) {
             return None;
         }
-        let chosen = probe::choose_idle_neighbour(&self.host, &self.service).await?;
+        let chosen = probe::choose_idle_local(&self.host, &self.service).await?;
         Some(self.selected_by_probe(chosen, begun_ms))
     }
 
