--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -1,9 +1,8 @@
-//! Places at upstreams, from the scheduler of a service.
+//! Placements of requests at upstreams, by the scheduler of a service.
 //!
-//! Who schedules, and what a scheduler decides, is [`dispatch::scheduler`]'s matter; this module
-//! carries the messages, waits for the answer, and asks upstreams for the schedulers of this
-//! host. A scheduler that says nothing in time is done without: its requests are placed by
-//! asking upstreams ([`crate::probe`]).
+//! [`dispatch::scheduler`] decides which host schedules, and where a request is placed. This module
+//! carries the messages, waits for the reply, and probes upstreams for this host's schedulers. If a
+//! scheduler doesn't reply in time, the host chooses an upstream by itself ([`crate::probe`]).
 
 mod guard;
 mod scheduling;
@@ -29,39 +28,38 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{Notify, mpsc};
 
-/// Longest wait for a scheduler's first reply: it tells after 10 ms who waits, and the way there
-/// and back and a slow machine take some milliseconds more.
+/// Longest wait for a scheduler's first reply: it reports a request as queued after 10 ms; the rest
+/// is for the round trip and a slow machine.
 const FIRST_REPLY: Duration = Duration::from_millis(25);
 
-/// Longest wait for its next one, told every 10 ms: four may be lost.
+/// Longest wait for the next reply. One is sent every 10 ms, so four may be lost.
 const NEXT_REPLY: Duration = Duration::from_millis(50);
 
-/// How long a service counts as busy after one of its requests had to wait for its place: some
-/// requests of a host.
+/// How long a service counts as busy after one of its requests had to wait for a placement.
 const BUSY_MS: Millis = Millis(300);
 
-/// A run's first ticket is below this. Small numbers are short messages; a scheduler remembers
-/// those of a former run for some seconds, which rarely lie in its way.
+/// A run's first ticket is below this. Small numbers keep messages short; tickets rarely collide
+/// with those of an earlier run, which a scheduler remembers for some seconds.
 const FIRST_TICKETS: u64 = 1 << 20;
 
-/// This host's part in scheduling, for others and for itself.
+/// The schedulers that run on this host, and its own requests' submissions to schedulers.
 #[derive(Debug)]
 pub struct PlacementState {
     socket: Rc<UdpSocket>,
-    /// What this host schedules.
+    /// Schedulers that run on this host.
     pub schedulers: RefCell<SchedulerSet>,
-    /// Health checks that its schedulers may spend.
+    /// Probes that its schedulers may send.
     pub probe_budget: RefCell<AskBudget>,
     directory: RefCell<Directory>,
-    awaited: RefCell<FastMap<Ticket, mpsc::UnboundedSender<SchedulerReply>>>,
+    pending: RefCell<FastMap<Ticket, mpsc::UnboundedSender<SchedulerReply>>>,
     next_ticket: std::cell::Cell<u64>,
-    /// Services whose requests wait for places, until it is looked again.
+    /// Services whose requests had to wait, until when they count as busy.
     busy_until: RefCell<FastMap<ServiceName, Millis>>,
-    /// Woken when requests wait for a place.
+    /// Notified when requests wait for a placement.
     is_waiting: Notify,
 }
 
-/// What a scheduler says of a request.
+/// A scheduler's reply to a submitted request.
 #[derive(Debug)]
 enum SchedulerReply {
     Queued,
@@ -69,19 +67,19 @@
     Refused(RefusalCause),
 }
 
-/// What came of submitting a request.
+/// The result of submitting a request.
 #[derive(Debug)]
 pub enum Placement {
-    /// It has a place.
+    /// The request was placed.
     Placed(PlacementGuard, Place),
-    /// It gets none.
+    /// The scheduler refused it.
     Refused(RefusalCause),
-    /// Nobody said anything in time.
+    /// No scheduler replied in time.
     Unanswered,
 }
 
 impl PlacementState {
-    /// Speaks through the peers' socket; `seed` sets this run's tickets apart from those of the last.
+    /// Sends through the peers' socket; `seed` makes this run's tickets differ from the last run's.
     pub fn new(
         socket: Rc<UdpSocket>,
         host: HostId,
@@ -93,29 +91,29 @@
             schedulers: RefCell::new(SchedulerSet::new(host)),
             probe_budget: RefCell::new(probe_budget),
             directory: RefCell::default(),
-            awaited: RefCell::default(),
+            pending: RefCell::default(),
             next_ticket: std::cell::Cell::new(seed % FIRST_TICKETS),
             busy_until: RefCell::default(),
             is_waiting: Notify::new(),
         }
     }
 
-    /// Whether requests for a service waited for their places just now: who sends without
-    /// asking the scheduler would go before them.
+    /// Whether requests for a service had to wait recently. A request that bypasses the scheduler
+    /// would overtake them.
     pub fn is_busy(&self, service: &ServiceName, now_ms: Millis) -> bool {
         self.busy_until.borrow().get(service).is_some_and(|&until_ms| now_ms < until_ms)
     }
 
-    fn note_wait(&self, service: &ServiceName, now_ms: Millis) {
+    fn record_wait(&self, service: &ServiceName, now_ms: Millis) {
         self.busy_until.borrow_mut().insert(service.clone(), now_ms + BUSY_MS);
     }
 
-    /// A peer is there in a new run.
+    /// Records that a peer is up in a new run, so that it is used as a scheduler again.
     pub fn mark_responsive(&self, peer: &HostId) {
         self.directory.borrow_mut().note_heard(peer);
     }
 
-    /// Sends a datagram to peers. Lost is lost: whoever needs to know finds it missing.
+    /// Sends a datagram to peers, without a retry: receivers notice by themselves what they missed.
     pub fn send_to_peers(&self, metrics: &Metrics, datagram: &[u8], to: &[SocketAddr]) {
         for &address in to {
             if self.socket.try_send_to(datagram, address).is_ok() {
@@ -131,14 +129,14 @@
     }
 
     fn deliver(&self, ticket: Ticket, reply: SchedulerReply) {
-        // A reply on a request that is over or was placed otherwise is of no use.
-        if let Some(awaited) = self.awaited.borrow().get(&ticket) {
-            let _ = awaited.send(reply);
+        // Replies to requests that have ended or were placed otherwise are ignored.
+        if let Some(replies) = self.pending.borrow().get(&ticket) {
+            let _ = replies.send(reply);
         }
     }
 }
 
-/// Submits a request to the scheduler of its cell, and waits for its reply.
+/// Submits a request to the scheduler of its cell, and waits for the reply.
 pub async fn place(
     host: &Rc<Host>,
     cell: Cell,
@@ -147,11 +145,11 @@
     let Some(scheduler) = choose_scheduler(host, &cell) else { return Placement::Unanswered };
     let ticket = host.placement.draw_ticket();
     let (replies, mut received) = mpsc::unbounded_channel();
-    host.placement.awaited.borrow_mut().insert(ticket, replies);
-    let held = PlacementGuard::new(host, ticket, &scheduler);
+    host.placement.pending.borrow_mut().insert(ticket, replies);
+    let guard = PlacementGuard::new(host, ticket, &scheduler);
     let lends = host.rates.borrow_mut().lend(host.now_ms(), &cell, &scheduler.host);
     let submission = Submission { lends, ..submission(ticket, cell.clone()) };
-    held.tell(PlacementMessage::Submit(submission));
+    guard.send(PlacementMessage::Submit(submission));
     let mut longest = FIRST_REPLY;
     loop {
         match clock::timeout(longest, received.recv()).await {
@@ -159,19 +157,19 @@
                 host.placement.directory.borrow_mut().note_heard(&scheduler.host);
                 match reply {
                     SchedulerReply::Queued => {
-                        host.placement.note_wait(&cell.service, host.now_ms());
+                        host.placement.record_wait(&cell.service, host.now_ms());
                         longest = NEXT_REPLY;
                     }
-                    SchedulerReply::Placed(place) => return Placement::Placed(held, place),
+                    SchedulerReply::Placed(place) => return Placement::Placed(guard, place),
                     SchedulerReply::Refused(cause) => {
-                        host.placement.note_wait(&cell.service, host.now_ms());
-                        held.forget();
+                        host.placement.record_wait(&cell.service, host.now_ms());
+                        guard.forget();
                         return Placement::Refused(cause);
                     }
                 }
             }
             Ok(None) | Err(_) => {
-                note_silent(host, &scheduler.host, &cell);
+                record_unresponsive(host, &scheduler.host, &cell);
                 return Placement::Unanswered;
             }
         }
@@ -185,13 +183,13 @@
     directory.choose(host.now_ms(), cell, all).cloned()
 }
 
-fn note_silent(host: &Host, scheduler: &HostId, cell: &Cell) {
+fn record_unresponsive(host: &Host, scheduler: &HostId, cell: &Cell) {
     let now_ms = host.now_ms();
     let is_passed_over = host.placement.directory.borrow_mut().note_silent(now_ms, scheduler);
     host.log.write(&LogEvent::SchedulerSilent { scheduler, cell, is_passed_over });
 }
 
-/// Takes a peer's message on a place.
+/// Handles a peer's message about a placement.
 pub fn handle_message(host: &Rc<Host>, message: PlacementMessage, asker: Asker) {
     match message {
         PlacementMessage::Queued { ticket } => {
@@ -203,10 +201,10 @@
         PlacementMessage::Refused { ticket, cause } => {
             host.placement.deliver(ticket, SchedulerReply::Refused(cause));
         }
-        // Its few upstreams would be taken for all; the asker asks by itself.
+        // This host knows only some upstreams and must not schedule; the sender probes instead.
         PlacementMessage::Submit(Submission { ticket, .. }) if host.is_partial() => {
             let cause = RefusalCause::NoUpstream;
-            tell(host, asker, PlacementMessage::Refused { ticket, cause });
+            send(host, asker, PlacementMessage::Refused { ticket, cause });
         }
         PlacementMessage::Submit(_)
         | PlacementMessage::Ended { .. }
@@ -214,12 +212,12 @@
     }
 }
 
-/// Tells a host.
-fn tell(host: &Rc<Host>, to: Asker, message: PlacementMessage) {
+/// Sends a message to a host, or handles it here if it is for this host.
+fn send(host: &Rc<Host>, to: Asker, message: PlacementMessage) {
     let address = match to {
         Asker::Own => return handle_message(host, message, Asker::Own),
         Asker::Peer(address) => address,
     };
-    // Lost is lost: whoever waits in vain asks upstreams by itself.
+    // Not retried: a host that waits in vain probes upstreams by itself.
     fleet_message::send(host, &Datagram::Placement(message), &[address]);
 }
--- a/crates/gateway/src/placement/guard.rs
+++ b/crates/gateway/src/placement/guard.rs
@@ -1,19 +1,20 @@
-//! A place that a request wants or has, until it is given back.
+//! Guard of a request's placement, or of its submission to a scheduler.
 
-use super::tell;
+use super::send;
 use crate::host::Host;
 use dispatch::scheduler::{Asker, Outcome, PlacementMessage, Ticket, Withdrawal};
 use domain::HostId;
 use published::Member;
 use std::rc::Rc;
 
-/// A request's standing at its scheduler. Dropped, the place is given back unused.
+/// A request that was submitted to a scheduler. Dropping it withdraws the request, and releases its
+/// placement.
 #[derive(Debug)]
 pub struct PlacementGuard {
     host: Rc<Host>,
     ticket: Ticket,
     scheduler: Asker,
-    name: HostId,
+    scheduler_host: HostId,
     withdrawal: Withdrawal,
     is_over: bool,
 }
@@ -25,58 +26,58 @@
             host: Rc::clone(host),
             ticket,
             scheduler: if is_own { Asker::Own } else { Asker::Peer(scheduler.address) },
-            name: scheduler.host.clone(),
+            scheduler_host: scheduler.host.clone(),
             withdrawal: Withdrawal::NotSent,
             is_over: false,
         }
     }
 
-    /// Its name at the scheduler.
+    /// The number that identifies the request at the scheduler.
     pub fn ticket(&self) -> Ticket {
         self.ticket
     }
 
-    /// The host that gave it.
+    /// The scheduler's host.
     pub fn scheduler(&self) -> &HostId {
-        &self.name
+        &self.scheduler_host
     }
 
-    /// Whether this host gave it, so that what it learns of the request is known here already.
+    /// Whether this host is the scheduler, so that the request's outcome is recorded here already.
     pub fn is_own(&self) -> bool {
         self.scheduler == Asker::Own
     }
 
-    /// The request leaves for the upstream.
-    pub fn note_sent(&mut self) {
+    /// Records that the request is sent to the upstream.
+    pub fn record_sent(&mut self) {
         self.withdrawal = Withdrawal::Sent;
     }
 
-    /// The upstream can't be reached; the place is given back as it is dropped.
-    pub fn note_unreachable(&mut self) {
+    /// Records that the upstream can't be reached; sent to the scheduler on drop.
+    pub fn record_unreachable(&mut self) {
         self.withdrawal = Withdrawal::Unreachable;
     }
 
-    /// The request came to its end at the upstream.
+    /// Reports the request's outcome at the upstream.
     pub fn end(mut self, outcome: Outcome) {
         self.is_over = true;
-        self.tell(PlacementMessage::Ended { ticket: self.ticket, outcome });
+        self.send(PlacementMessage::Ended { ticket: self.ticket, outcome });
     }
 
-    /// The scheduler has forgotten it.
+    /// Drops the guard without a message: the scheduler no longer knows the request.
     pub(super) fn forget(mut self) {
         self.is_over = true;
     }
 
-    pub(super) fn tell(&self, message: PlacementMessage) {
-        tell(&self.host, self.scheduler, message);
+    pub(super) fn send(&self, message: PlacementMessage) {
+        send(&self.host, self.scheduler, message);
     }
 }
 
 impl Drop for PlacementGuard {
     fn drop(&mut self) {
-        self.host.placement.awaited.borrow_mut().remove(&self.ticket);
+        self.host.placement.pending.borrow_mut().remove(&self.ticket);
         if !self.is_over {
-            self.tell(PlacementMessage::Withdrawn { ticket: self.ticket, how: self.withdrawal });
+            self.send(PlacementMessage::Withdrawn { ticket: self.ticket, how: self.withdrawal });
         }
     }
 }
--- a/crates/gateway/src/placement/scheduling.rs
+++ b/crates/gateway/src/placement/scheduling.rs
@@ -1,6 +1,6 @@
-//! What this host schedules for others and for itself.
+//! Runs this host's schedulers, for its own requests and for those of other hosts.
 
-use super::tell;
+use super::send;
 use crate::host::Host;
 use crate::probe;
 use dispatch::UpstreamSet;
@@ -9,19 +9,19 @@
 use rand_pcg::Pcg64Mcg;
 use std::rc::Rc;
 
-/// Takes a host's message to a scheduler.
+/// Handles a host's message to a scheduler.
 pub(super) fn handle_message(host: &Rc<Host>, message: PlacementMessage, asker: Asker) {
-    act(host, |schedulers, now_ms, upstreams, rng| {
+    decide_and_apply(host, |schedulers, now_ms, upstreams, rng| {
         schedulers.take(now_ms, message, asker, upstreams, rng)
     });
 }
 
-/// Looks again at all that waits: something was learned, or time has passed.
+/// Decides again on all waiting requests, after new information or as time has passed.
 pub fn reschedule(host: &Rc<Host>) {
-    act(host, SchedulerSet::turn);
+    decide_and_apply(host, SchedulerSet::turn);
 }
 
-/// Looks for which cells no other host comes before this one.
+/// Updates for which cells this host is first in the order of schedulers.
 pub fn update_first_cells(host: &Host) {
     let members = host.members();
     let is_first = |cell: &Cell| {
@@ -31,8 +31,8 @@
     host.placement.schedulers.borrow_mut().set_first(is_first);
 }
 
-/// Has the schedulers decide, and carries out what they decided.
-fn act(
+/// Has the schedulers decide, and carries out the effects.
+fn decide_and_apply(
     host: &Rc<Host>,
     decide: impl FnOnce(&mut SchedulerSet, Millis, &mut UpstreamSet, &mut Pcg64Mcg) -> Vec<Effect>,
 ) {
@@ -49,7 +49,7 @@
     carry_out(host, effects);
 }
 
-/// Looks at what waits as often as it has to be; never ends.
+/// Reschedules waiting requests whenever it is due; never returns.
 pub async fn run(host: Rc<Host>) {
     loop {
         let next_ms = host.placement.schedulers.borrow().next_turn_ms(host.now_ms());
@@ -66,7 +66,7 @@
 fn carry_out(host: &Rc<Host>, effects: Vec<Effect>) {
     for effect in effects {
         match effect {
-            Effect::Tell { to, message } => tell(host, to, message),
+            Effect::Tell { to, message } => send(host, to, message),
             Effect::Ask(upstream) => {
                 let host = Rc::clone(host);
                 tokio::task::spawn_local(async move {
--- a/crates/gateway/src/serve/attempt_guard.rs
+++ b/crates/gateway/src/serve/attempt_guard.rs
@@ -39,7 +39,7 @@
         upstream: &UpstreamId,
         mut placement: Option<PlacementGuard>,
     ) -> AttemptGuard {
-        placement.iter_mut().for_each(PlacementGuard::note_sent);
+        placement.iter_mut().for_each(PlacementGuard::record_sent);
         let begun_ms = host.now_ms();
         let entry = host.upstreams.borrow().get(upstream).map(|known| Arc::clone(&known.entry));
         let run = entry.as_ref().map(|entry| entry.run).unwrap_or_default();
--- a/crates/gateway/src/serve/selection.rs
+++ b/crates/gateway/src/serve/selection.rs
@@ -78,7 +78,7 @@
                 }
                 connection => {
                     if connection.is_none() {
-                        selected.placement.iter_mut().for_each(PlacementGuard::note_unreachable);
+                        selected.placement.iter_mut().for_each(PlacementGuard::record_unreachable);
                     }
                     counts.tried.push(selected.upstream);
                 }
