--- a/crates/gateway/src/backpressure.rs
+++ b/crates/gateway/src/backpressure.rs
@@ -1,7 +1,8 @@
-//! Reads what upstreams say of the load that they bear, and tells the other hosts.
+//! Reads the rate limits, backoffs and leaving flags that upstreams state in their responses, and
+//! sends them to the other hosts.
 //!
-//! What follows from it is decided by [`dispatch::backpressure`]. Only what an upstream surely said is
-//! taken: an answer of another that has its address, or of something on the way, tells nothing of it.
+//! [`dispatch::backpressure`] decides what follows from them. Only a response that certainly comes
+//! from the upstream counts: another upstream may have its address, and a proxy may respond for it.
 
 use crate::event_log::LogEvent;
 use crate::fleet_message;
@@ -20,32 +21,33 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest pause before peers are told. Several hosts hear of the same within some milliseconds;
-/// who was told meanwhile tells nobody.
-const TELL_WITHIN: Duration = Duration::from_millis(20);
+/// Longest delay before peers are told. Several hosts may receive the same statement within some
+/// milliseconds; a host that a peer told meanwhile sends nothing.
+const SEND_WITHIN: Duration = Duration::from_millis(20);
 
-/// When peers are told of the same: a datagram may be lost.
-const TELL_AFTER_MS: [Millis; 3] = [Millis::ZERO, Millis(100), Millis(300)];
+/// Times at which the same is sent to peers: a datagram may be lost.
+const SEND_AFTER_MS: [Millis; 3] = [Millis::ZERO, Millis(100), Millis(300)];
 
-/// Status of an answer by another upstream that has the address.
+/// Status of a response by another upstream that has taken over the address.
 const MISDIRECTED: u16 = 421;
 
-/// Seconds for which a refused host is to stay away, as HTTP names it.
+/// HTTP header with the seconds for which a refused host is to back off.
 const RETRY_AFTER: &str = "retry-after";
 
-/// Part by which a backoff is drawn out: hosts that were refused together don't come back together.
-const BACKOFF_SPREAD: f64 = 0.1;
+/// Share by which a backoff is extended at most, at random, so that hosts that were refused together
+/// don't return together.
+const BACKOFF_JITTER: f64 = 0.1;
 
-/// What the answer to a request says. What is passed on to the caller counts, with or without its
-/// seal; of failures and refusals only those that the upstream surely made.
+/// Reads the backpressure that a response to a request states. A response that is delivered to the
+/// caller counts with or without a seal; an error or refusal only if it is certainly the upstream's.
 pub fn read(
     host: &Host,
     upstream: &UpstreamId,
     head: &ResponseHead,
     answered: Answered,
 ) -> Backpressure {
-    let is_its_own = answered.is_sealed || answered.not_run || attempts::is_final(answered);
-    if !is_its_own || answered.status == MISDIRECTED {
+    let is_from_upstream = answered.is_sealed || answered.not_run || attempts::is_final(answered);
+    if !is_from_upstream || answered.status == MISDIRECTED {
         return Backpressure::default();
     }
     let backoff_ms = match answered.status {
@@ -55,56 +57,56 @@
     Backpressure { backoff_ms, ..read_fields(host, upstream, &head.fields) }
 }
 
-/// What an answer to a health check says.
+/// Reads the backpressure that a response to a health check states.
 pub fn read_fields(host: &Host, upstream: &UpstreamId, fields: &HeadFields) -> Backpressure {
     let rate_limit = read_rate_limit(host, upstream, fields);
     Backpressure { rate_limit, backoff_ms: None, is_leaving: read_leaving(host, upstream, fields) }
 }
 
 fn read_leaving(host: &Host, upstream: &UpstreamId, fields: &HeadFields) -> bool {
-    let mark = host.dialect.leaving;
-    let mut words = fields.all(mark).map(<[u8]>::trim_ascii);
-    words.any(|word| match word {
+    let header = host.dialect.leaving;
+    let mut values = fields.all(header).map(<[u8]>::trim_ascii);
+    values.any(|value| match value {
         b"1" => true,
         b"0" => false,
         other => {
-            host.note_unreadable(upstream, mark, other);
+            host.note_unreadable(upstream, header, other);
             false
         }
     })
 }
 
-/// The longest, if several are named.
+/// Returns the longest backoff, if several are stated.
 fn read_backoff(host: &Host, upstream: &UpstreamId, fields: &HeadFields) -> Option<Millis> {
-    let named_s = read_numbers(host, upstream, fields, RETRY_AFTER).max_by(f64::total_cmp)?;
+    let stated_s = read_numbers(host, upstream, fields, RETRY_AFTER).max_by(f64::total_cmp)?;
     let longest_s = LONGEST_BACKOFF_MS.as_f64() / 1_000.0;
-    let drawn_out = 1.0 + BACKOFF_SPREAD * host.rng.borrow_mut().random::<f64>();
-    Some(Millis((named_s.min(longest_s) * drawn_out * 1_000.0) as u64))
+    let jitter = 1.0 + BACKOFF_JITTER * host.rng.borrow_mut().random::<f64>();
+    Some(Millis((stated_s.min(longest_s) * jitter * 1_000.0) as u64))
 }
 
-/// The smallest, if several are named.
+/// Returns the smallest rate limit, if several are stated.
 fn read_rate_limit(host: &Host, upstream: &UpstreamId, fields: &HeadFields) -> Option<PerSecond> {
-    let named = read_numbers(host, upstream, fields, host.dialect.rate_limit);
-    named.min_by(f64::total_cmp).map(PerSecond)
+    let stated = read_numbers(host, upstream, fields, host.dialect.rate_limit);
+    stated.min_by(f64::total_cmp).map(PerSecond)
 }
 
-/// Values of a mark; operators are told of those that are no number.
+/// Returns a header's values that are numbers, and reports the others to operators.
 fn read_numbers<'a>(
     host: &'a Host,
     upstream: &'a UpstreamId,
     fields: &'a HeadFields,
-    mark: &'static str,
+    header: &'static str,
 ) -> impl Iterator<Item = f64> + 'a {
-    fields.all(mark).filter_map(move |value| {
+    fields.all(header).filter_map(move |value| {
         let number = read_decimal(value);
         if number.is_none() {
-            host.note_unreadable(upstream, mark, value);
+            host.note_unreadable(upstream, header, value);
         }
         number
     })
 }
 
-/// A number of digits with at most one point: no sign, no exponent, nothing that is no number.
+/// Parses a decimal number of digits with at most one point; no sign, no exponent, not infinite.
 pub fn read_decimal(value: &[u8]) -> Option<f64> {
     let text = std::str::from_utf8(value).ok()?.trim();
     let is_plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
@@ -112,24 +114,30 @@
     number.is_finite().then_some(number)
 }
 
-/// A run of an upstream answered and said so.
-pub fn note(host: &Rc<Host>, at: (&UpstreamId, RunStart), kind: AnswerKind, said: Backpressure) {
+/// Records the backpressure that a run of an upstream stated, and sends it to peers.
+pub fn record(
+    host: &Rc<Host>,
+    at: (&UpstreamId, RunStart),
+    kind: AnswerKind,
+    stated: Backpressure,
+) {
     let now_ms = host.now_ms();
-    let changed = host.upstreams.borrow_mut().note_backpressure(now_ms, at, kind, said);
-    announce(host, changed, "upstream");
+    let changed = host.upstreams.borrow_mut().note_backpressure(now_ms, at, kind, stated);
+    log_changes(host, changed, "upstream");
     if host.upstreams.borrow().backpressure().is_untold() && !host.tells_backpressure.replace(true)
     {
         let host = Rc::clone(host);
         tokio::task::spawn_local(async move {
-            let part = host.rng.borrow_mut().random::<f64>();
-            clock::sleep(TELL_WITHIN.mul_f64(part)).await;
+            let share = host.rng.borrow_mut().random::<f64>();
+            clock::sleep(SEND_WITHIN.mul_f64(share)).await;
             host.tells_backpressure.set(false);
-            tell_fleet(&host).await;
+            send_to_fleet(&host).await;
         });
     }
 }
 
-/// What is due now and then: forgets, and offers a peer what it may have missed.
+/// Drops expired statements, and offers this host's digest to a peer, which then asks for what it
+/// missed. Called periodically.
 pub fn run_maintenance(host: &Host) {
     host.upstreams.borrow_mut().forget_backpressure(host.now_ms());
     let digest = host.upstreams.borrow().backpressure().digest();
@@ -139,7 +147,7 @@
     }
 }
 
-/// Peers were heard of. After the start they are asked for what upstreams said before.
+/// Called when peers become known: after a start, asks them for what upstreams stated before.
 pub fn catch_up_after_start(host: &Host) {
     let asked = host.backpressure_asks.get();
     if asked < fleet_message::START_ASKS {
@@ -148,24 +156,24 @@
     }
 }
 
-/// Asks some peers for what this host missed: it has just started, or stood still.
+/// Asks some peers for what this host missed before its start or while it was suspended.
 pub fn request_from_peers(host: &Host) {
     let digest = host.upstreams.borrow().backpressure().digest();
     let ask = Datagram::Backpressure(BackpressureMessage::Ask { digest });
     fleet_message::ask_some(host, &ask);
 }
 
-/// Takes a peer's message; true if the peer waits to hear that this host is there.
+/// Handles a peer's message; true if the peer is to be told that this host is up.
 pub fn handle_message(host: &Host, message: BackpressureMessage, from: SocketAddr) -> bool {
     let own_digest = host.upstreams.borrow().backpressure().digest();
     match message {
         BackpressureMessage::Stated { told, passes_on } => {
             if passes_on {
-                fleet_message::pass_on(host, &stated(told.clone(), false));
+                fleet_message::pass_on(host, &stated_message(told.clone(), false));
             }
             let now_ms = host.now_ms();
             let changed = host.upstreams.borrow_mut().take_backpressure(now_ms, told);
-            announce(host, changed, "peer");
+            log_changes(host, changed, "peer");
             return passes_on;
         }
         BackpressureMessage::Offer { digest } if digest != own_digest => {
@@ -174,37 +182,38 @@
         }
         BackpressureMessage::Ask { digest } if digest != own_digest => {
             let told = host.upstreams.borrow().backpressure().tell(host.now_ms());
-            fleet_message::send(host, &stated(told, false), &[from]);
+            fleet_message::send(host, &stated_message(told, false), &[from]);
         }
         BackpressureMessage::Offer { .. } | BackpressureMessage::Ask { .. } => {}
     }
     false
 }
 
-/// Tells what is untold, and again: who missed it would send one request too many.
-async fn tell_fleet(host: &Host) {
+/// Sends what peers weren't told yet, several times: a host that misses it sends one request too
+/// many.
+async fn send_to_fleet(host: &Host) {
     let untold = host.upstreams.borrow_mut().backpressure_mut().take_untold(host.now_ms());
     if untold.is_empty() {
         return;
     }
     let begun_ms = host.now_ms();
-    for after_ms in TELL_AFTER_MS {
+    for after_ms in SEND_AFTER_MS {
         host.clock.sleep_until(begun_ms + after_ms).await;
         let later = |told: &ToldBackpressure| ToldBackpressure {
             age_ms: told.age_ms + host.now_ms().since(begun_ms),
             ..told.clone()
         };
         let told: Vec<ToldBackpressure> = untold.iter().map(later).collect();
-        fleet_message::tell_fleet(host, |passes_on| stated(told.clone(), passes_on));
+        fleet_message::tell_fleet(host, |passes_on| stated_message(told.clone(), passes_on));
     }
 }
 
-fn stated(told: Vec<ToldBackpressure>, passes_on: bool) -> Datagram {
+fn stated_message(told: Vec<ToldBackpressure>, passes_on: bool) -> Datagram {
     Datagram::Backpressure(BackpressureMessage::Stated { told, passes_on })
 }
 
-/// Tells operators.
-fn announce(host: &Host, changed: impl IntoIterator<Item = BackpressureChange>, from: &str) {
+/// Logs changes for operators.
+fn log_changes(host: &Host, changed: impl IntoIterator<Item = BackpressureChange>, from: &str) {
     for BackpressureChange { upstream, limit, backoff_ms, is_leaving } in changed {
         let upstream = &upstream;
         if let Some(change) = limit {
--- a/crates/gateway/src/probe/health_check.rs
+++ b/crates/gateway/src/probe/health_check.rs
@@ -163,8 +163,8 @@
         note_report(host, (upstream, run), report);
     }
     record_cold(host, (upstream, run), &answer.head.fields);
-    let said = backpressure::read_fields(host, upstream, &answer.head.fields);
-    backpressure::note(host, (upstream, run), AnswerKind::HealthCheck, said);
+    let stated = backpressure::read_fields(host, upstream, &answer.head.fields);
+    backpressure::record(host, (upstream, run), AnswerKind::HealthCheck, stated);
     Ok(answer.head.status == 200)
 }
 
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -1,9 +1,9 @@
-//! Sees which requests crash upstreams, and tells the other hosts.
+//! Detects requests that crash upstreams, and sends the findings to the other hosts.
 //!
-//! What follows from it is decided by [`dispatch::quarantine`]. A broken connection alone is no
-//! crash: upstreams spoil answers, some reset when they are full, and links break. After a crash
-//! the port refuses connections, which one round trip shows, and no other connection to the
-//! upstream is open. A crash that cuts the machine off or leaves it dark is not recognised.
+//! [`dispatch::quarantine`] decides what follows from a crash. A broken connection alone is no
+//! crash: upstreams send malformed responses, some reset connections when they are full, and links
+//! break. After a crash the port refuses connections, which one round trip shows, and no other
+//! connection to the upstream is open. A crash that takes the machine off the network isn't detected.
 
 use crate::connection::Connection;
 use crate::event_log::LogEvent;
@@ -20,38 +20,39 @@
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// Longest look at an upstream that broke off a request: some round trips between availability
-/// zones. The request waits for it, so that what follows knows of the crash.
-const LOOK: Duration = Duration::from_millis(60);
+/// Longest check of an upstream that broke a connection: some round trips between availability
+/// zones. The request waits for it, so that its next attempt takes a crash into account.
+const CHECK_LIMIT: Duration = Duration::from_millis(60);
 
-/// A request whose connection broke after it had left.
+/// An attempt whose connection broke after the request was sent.
 #[derive(Debug)]
-pub struct BrokenOff {
-    /// What it asks.
+pub struct BrokenAttempt {
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// Where it was sent.
+    /// Entry of the upstream that it was sent to.
     pub upstream: Arc<Upstream>,
-    /// When.
+    /// When it was sent.
     pub sent_ms: Millis,
     /// When its connection broke.
     pub broke_ms: Millis,
 }
 
-/// Looks whether the upstream crashed, and notes it; true if it did. Goes on if nobody waits.
-pub fn examine(host: &Rc<Host>, broken: BrokenOff) -> JoinHandle<bool> {
+/// Checks whether the upstream crashed, and records it; true if it did. The check completes even if
+/// its result isn't awaited.
+pub fn examine(host: &Rc<Host>, broken: BrokenAttempt) -> JoinHandle<bool> {
     let host = Rc::clone(host);
     tokio::task::spawn_local(async move {
-        let looking = has_crashed(&host, &broken.upstream);
-        let has_crashed = clock::timeout(LOOK, looking).await.unwrap_or(false);
+        let checking = has_crashed(&host, &broken.upstream);
+        let has_crashed = clock::timeout(CHECK_LIMIT, checking).await.unwrap_or(false);
         host.metrics.broke_off(has_crashed);
         if has_crashed {
-            note_crash(&host, broken);
+            record_crash(&host, broken);
         }
         has_crashed
     })
 }
 
-/// Whether the process behind an entry is gone though it did not say that it would leave.
+/// Whether the process behind an entry is gone without having announced that it leaves.
 async fn has_crashed(host: &Rc<Host>, entry: &Upstream) -> bool {
     match state_of(host, &entry.id, entry.run) {
         EntryState::Restarted => return true,
@@ -59,7 +60,7 @@
         EntryState::Ready => {}
     }
     host.metrics.connected();
-    match Connection::open(entry.address, LOOK).await {
+    match Connection::open(entry.address, CHECK_LIMIT).await {
         Ok(connection) => {
             host.pool.borrow_mut().put(&entry.id, connection.belonging_to(entry.run));
             false
@@ -68,8 +69,9 @@
     }
 }
 
-/// Whether a kept connection to an upstream is open: it is full, and refuses new ones only. Asked
-/// after a round trip: ends of connections that come together are noticed together by then.
+/// Whether a pooled connection to the upstream is still open: then it is full, and refuses only new
+/// connections. Called after a round trip, by which time connections that a crash closed are seen
+/// to be closed.
 fn is_connected(host: &Host, entry: &Upstream) -> bool {
     let kept = host.pool.borrow_mut().take(&entry.id, entry.run);
     let is_open = kept.is_some();
@@ -77,12 +79,12 @@
     is_open
 }
 
-/// What is published of a run of an upstream.
+/// The published state of a run of an upstream.
 enum EntryState {
     Ready,
-    /// It drains, said that it is leaving, or its entry was removed: its end is no crash.
+    /// It drains, has announced that it leaves, or its entry was removed: its end is no crash.
     Leaving,
-    /// A later run has its place.
+    /// A later run has replaced it.
     Restarted,
 }
 
@@ -96,7 +98,7 @@
     }
 }
 
-fn note_crash(host: &Rc<Host>, broken: BrokenOff) {
+fn record_crash(host: &Rc<Host>, broken: BrokenAttempt) {
     let crash = Crash {
         upstream: broken.upstream.id.clone(),
         run: broken.upstream.run,
@@ -105,48 +107,49 @@
         crashed_ms: broken.broke_ms,
     };
     let changed = host.quarantine.borrow_mut().note_crash(broken.fingerprint, crash);
-    announce(host, changed);
-    tell_fleet(host);
+    log_changes(host, changed);
+    send_to_fleet(host);
 }
 
-/// An upstream ran a request to its end.
-pub fn note_answered(host: &Host, fingerprint: RequestFingerprint) {
+/// Records that an upstream served a request, which clears the request.
+pub fn record_served(host: &Host, fingerprint: RequestFingerprint) {
     clear(host, fingerprint);
 }
 
-/// A request that an upstream crashed under got its final answer.
-pub fn note_over(host: &Host, fingerprint: RequestFingerprint) {
+/// Records that a request that crashed an upstream has its final response.
+pub fn record_final_response(host: &Host, fingerprint: RequestFingerprint) {
     host.quarantine.borrow_mut().note_over(fingerprint);
-    tell_fleet(host);
+    send_to_fleet(host);
 }
 
-/// A request leaves as the only one of its kind in the fleet.
+/// Begins a trial: the request is the only one with its fingerprint that the fleet has in flight.
 pub fn begin_trial(host: &Host, fingerprint: RequestFingerprint, until_ms: Millis) {
     host.quarantine.borrow_mut().begin_trial(fingerprint, until_ms);
-    tell_fleet(host);
+    send_to_fleet(host);
 }
 
-/// A trial of this host ended.
+/// Ends a trial of this host.
 pub fn end_trial(host: &Host, fingerprint: RequestFingerprint) {
     host.quarantine.borrow_mut().end_trial(fingerprint);
     host.quarantine_news.notify_waiters();
 }
 
-/// An operator lifts the verdict on a request; false if there is none.
+/// Lifts the quarantine of a request, for an operator; false if there is none.
 pub fn lift(host: &Host, fingerprint: RequestFingerprint) -> bool {
     clear(host, fingerprint)
 }
 
-/// What was held against a request is void, here and on all hosts; false if nothing was.
+/// Clears the crashes recorded for a request, on all hosts; false if there are none.
 fn clear(host: &Host, fingerprint: RequestFingerprint) -> bool {
     let changed = host.quarantine.borrow_mut().clear(host.now_ms(), fingerprint);
     let is_cleared = changed.is_some();
-    announce(host, changed);
-    tell_fleet(host);
+    log_changes(host, changed);
+    send_to_fleet(host);
     is_cleared
 }
 
-/// What is due now and then: forgets, and offers a peer what it may have missed.
+/// Drops what has expired, and offers this host's digest to a peer, which then asks for what it
+/// missed. Called periodically.
 pub fn run_maintenance(host: &Host) {
     let now_ms = host.now_ms();
     host.quarantine.borrow_mut().settle(now_ms);
@@ -155,8 +158,8 @@
     fleet_message::tell_some(host, &offer, 1);
 }
 
-/// Peers were heard of. After the start they are asked for what this host missed, a few times only:
-/// hundreds of hosts that start together hear of each other in dozens of messages.
+/// Called when peers become known: after a start, asks them for what this host missed. Limited to a
+/// few times, since hosts that start together learn of each other in dozens of messages.
 pub fn catch_up_after_start(host: &Host) {
     let asked = host.quarantine_asks.get();
     if asked < fleet_message::START_ASKS && host.quarantine.borrow().is_empty() {
@@ -165,14 +168,14 @@
     }
 }
 
-/// Asks some peers for what this host missed: it has just started, or stood still.
+/// Asks some peers for what this host missed before its start or while it was suspended.
 pub fn request_from_peers(host: &Host) {
     let digest = host.quarantine.borrow().digest();
     let ask = Datagram::Quarantine(QuarantineMessage::Ask { digest });
     fleet_message::ask_some(host, &ask);
 }
 
-/// Takes a peer's message; true if the peer waits to hear that this host is there.
+/// Handles a peer's message; true if the peer is to be told that this host is up.
 pub fn handle_message(host: &Host, message: QuarantineMessage, from: SocketAddr) -> bool {
     let now_ms = host.now_ms();
     let own_digest = host.quarantine.borrow().digest();
@@ -184,8 +187,8 @@
                 fleet_message::pass_on(host, &Datagram::Quarantine(passed));
             }
             let changed = host.quarantine.borrow_mut().take(now_ms, suspects);
-            announce(host, changed);
-            tell_fleet(host);
+            log_changes(host, changed);
+            send_to_fleet(host);
             return passes_on;
         }
         QuarantineMessage::Offer { digest } if digest != own_digest => {
@@ -200,7 +203,8 @@
     false
 }
 
-fn tell_fleet(host: &Host) {
+/// Sends what peers weren't told yet to all hosts.
+fn send_to_fleet(host: &Host) {
     let untold = host.quarantine.borrow_mut().take_untold(host.now_ms());
     let Some(suspects) = untold else { return };
     fleet_message::tell_fleet(host, |passes_on| {
@@ -213,8 +217,8 @@
     fleet_message::send(host, &Datagram::Quarantine(message), &[to]);
 }
 
-/// Tells operators, and whoever waits for what comes of a trial.
-fn announce(host: &Host, changed: impl IntoIterator<Item = Changed>) {
+/// Logs changes for operators, and wakes requests that wait for the end of a trial.
+fn log_changes(host: &Host, changed: impl IntoIterator<Item = Changed>) {
     let now_ms = host.now_ms();
     for changed in changed {
         host.quarantine_news.notify_waiters();
--- a/crates/gateway/src/serve/admission.rs
+++ b/crates/gateway/src/serve/admission.rs
@@ -59,7 +59,7 @@
         }
         match end {
             End::Answered(answered) if attempts::was_served(answered) => {
-                quarantine::note_answered(&self.host, self.fingerprint());
+                quarantine::record_served(&self.host, self.fingerprint());
             }
             End::Answered(_) | End::NotSent | End::Broken => {}
         }
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -9,7 +9,7 @@
 use crate::event_log::{AnswerTo, LogEvent};
 use crate::http1::write_request;
 use crate::probe;
-use crate::quarantine::{self, BrokenOff};
+use crate::quarantine::{self, BrokenAttempt};
 use dispatch::attempts::{Answered, Cause, End, Refusal};
 use dispatch::backpressure::Backpressure;
 use dispatch::scheduler::Outcome;
@@ -59,7 +59,7 @@
         let mut kept = None;
         let outcome = self.send_until_answered(&mut counts, &mut kept).await;
         if counts.crashes > 0 {
-            quarantine::note_over(&self.host, self.fingerprint());
+            quarantine::record_final_response(&self.host, self.fingerprint());
         }
         match (outcome, kept) {
             // An upstream's error response tells the caller more than a refusal by this host.
@@ -204,7 +204,7 @@
         let has_crashed = match entry {
             Some(upstream) if end == End::Broken => {
                 let fingerprint = self.fingerprint();
-                let broken = BrokenOff { fingerprint, upstream, sent_ms, broke_ms };
+                let broken = BrokenAttempt { fingerprint, upstream, sent_ms, broke_ms };
                 // A failed task is a fault in this process, not evidence of a crash.
                 quarantine::examine(&self.host, broken).await.unwrap_or(false)
             }
--- a/crates/gateway/src/serve/attempt_guard.rs
+++ b/crates/gateway/src/serve/attempt_guard.rs
@@ -78,7 +78,7 @@
         self.is_ended = true;
         // Before the outcome goes to a scheduler on this host, which reads what is recorded here.
         let (at, kind) = ((&self.upstream, self.run), outcome.answer_kind());
-        backpressure::note(&self.host, at, kind, outcome.backpressure);
+        backpressure::record(&self.host, at, kind, outcome.backpressure);
         if self.updates_own_state() {
             self.record_end(outcome);
             if outcome.failure.is_none() {
