--- a/crates/dispatch/tests/cold.rs
+++ b/crates/dispatch/tests/cold.rs
@@ -5,7 +5,7 @@
 
 use dispatch::{AskFailure, UpstreamSet, Warmth};
 use domain::{Connections, Millis, PerSecond};
-use published::{Change, Entry, Evacuations, Item, Picture, Revision, RunStart};
+use published::{Change, Entry, Evacuations, Item, PublishedState, Revision, RunStart};
 use published::{ServiceSettings, Upstream};
 use rstest::rstest;
 use std::sync::Arc;
@@ -135,7 +135,7 @@
 #[case::taken_back_warm(&[Told::Evacuated, Told::Restored, Told::Answer(Some(0))], Warmth::Warm)]
 fn coldness_is_learned(#[case] told: &[Told], #[case] wanted: Warmth) {
     let mut set = set_of(&told_cold(0), Some(PerSecond(RATE)));
-    let mut picture = Picture::default();
+    let mut picture = PublishedState::default();
     let upstream = (&id("i-1"), RunStart::default());
     for (revision, told) in (2..).zip(told) {
         match *told {
--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -8,7 +8,7 @@
 };
 use dispatch::{Reach, UpstreamSet};
 use domain::{Millis, ServiceName, ZoneName};
-use published::{Change, Entry, Evacuations, Item, Picture, Revision, RunStart, Upstream};
+use published::{Change, Entry, Evacuations, Item, PublishedState, Revision, RunStart, Upstream};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
@@ -27,7 +27,7 @@
 
 /// The evacuations of these zones.
 fn evacuations(zones: &[&str]) -> Evacuations {
-    let mut picture = Picture::default();
+    let mut picture = PublishedState::default();
     for name in zones {
         let value = Item::Evacuation(zone(name));
         let change = Change::Written(Entry { revision: Revision(1), value });
--- a/crates/gateway/src/event_log/event.rs
+++ b/crates/gateway/src/event_log/event.rs
@@ -8,7 +8,7 @@
 use domain::{
     HostId, Incarnation, Millis, RequestFingerprint, ServiceName, UpstreamId, Version, ZoneName,
 };
-use published::{Belief, Revision};
+use published::{Revision, StateChange};
 use serde::Serialize;
 
 /// How much a line matters.
@@ -50,7 +50,7 @@
     /// Something else is believed.
     Belief {
         #[serde(flatten)]
-        belief: &'a Belief,
+        belief: &'a StateChange,
         from: &'a str,
     },
     /// More changed at once than is told one by one.
--- a/crates/gateway/src/fleet_message.rs
+++ b/crates/gateway/src/fleet_message.rs
@@ -6,7 +6,7 @@
 use crate::event_log::LogEvent;
 use crate::host::Host;
 use crate::peers::codec::{self, Datagram};
-use published::Listener;
+use published::Recipient;
 use rand::seq::SliceRandom;
 use std::net::SocketAddr;
 
@@ -21,7 +21,7 @@
     let listeners = host.gossip.borrow_mut().listeners(host.now_ms());
     for passes_on in [true, false] {
         let told = listeners.iter().filter(|listener| listener.passes_on == passes_on);
-        let to: Vec<SocketAddr> = told.map(|&Listener { address, .. }| address).collect();
+        let to: Vec<SocketAddr> = told.map(|&Recipient { address, .. }| address).collect();
         send(host, &message(passes_on), &to);
     }
 }
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -18,7 +18,7 @@
 use dispatch::quarantine::Quarantine;
 use dispatch::{FleetShape, MOST_KEPT, RateSender, SplitTable, UpstreamSet, kept_connections};
 use domain::{Millis, PerSecond, ServiceName, UpstreamId};
-use published::{Belief, Gossip, Member, Members, Picture, RouteTable};
+use published::{Gossip, Member, Members, PublishedState, RouteTable, StateChange};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, Ref, RefCell};
@@ -163,7 +163,7 @@
     }
 
     /// What is believed to be published.
-    pub fn picture(&self) -> Ref<'_, Picture> {
+    pub fn picture(&self) -> Ref<'_, PublishedState> {
         Ref::map(self.gossip.borrow(), Gossip::picture)
     }
 
@@ -204,20 +204,21 @@
     }
 
     /// Puts a changed picture to use, and tells operators.
-    pub fn picture_changed(&self, beliefs: &[Belief], from: &str) {
+    pub fn picture_changed(&self, beliefs: &[StateChange], from: &str) {
         for belief in beliefs.iter().take(MOST_BELIEFS_TOLD) {
             self.log.write(&LogEvent::Belief { belief, from });
-            if let Belief::ZoneEvacuated { zone, .. } = belief {
+            if let StateChange::ZoneEvacuated { zone, .. } = belief {
                 let upstreams = self.picture().upstreams_in(zone);
                 self.log.write(&LogEvent::EvacuatedZone { zone, upstreams });
             }
         }
         if let Some(rest) = beliefs.get(MOST_BELIEFS_TOLD..).filter(|rest| !rest.is_empty()) {
-            let count_of = |is_it: fn(&Belief) -> bool| rest.iter().filter(|b| is_it(b)).count();
+            let count_of =
+                |is_it: fn(&StateChange) -> bool| rest.iter().filter(|b| is_it(b)).count();
             self.log.write(&LogEvent::MoreBeliefs {
                 count: rest.len(),
-                joined: count_of(|belief| matches!(belief, Belief::UpstreamJoined { .. })),
-                gone: count_of(|belief| matches!(belief, Belief::UpstreamGone { .. })),
+                joined: count_of(|belief| matches!(belief, StateChange::UpstreamJoined { .. })),
+                gone: count_of(|belief| matches!(belief, StateChange::UpstreamGone { .. })),
                 from,
             });
         }
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -7,7 +7,7 @@
 use dispatch::Warmth;
 use dispatch::quarantine::SuspectDump;
 use domain::{Millis, PerSecond, RequestFingerprint, ZoneName};
-use published::{Eligibility, Entry, Picture, Revision, Upstream};
+use published::{Eligibility, Entry, PublishedState, Revision, Upstream};
 use serde::Serialize;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -178,7 +178,7 @@
     (200, "text/plain; version=0.0.4", host.metrics.render())
 }
 
-fn evacuated_zones(picture: &Picture) -> Vec<EvacuationDump> {
+fn evacuated_zones(picture: &PublishedState) -> Vec<EvacuationDump> {
     let dump = |(zone, revision): (&ZoneName, Revision)| EvacuationDump {
         zone: zone.clone(),
         revision,
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -235,8 +235,8 @@
 fn encode(message: &Message) -> Result<Vec<u8>, CodecError> {
     let whole = codec::encode(&Datagram::Gossip(message.clone()))?;
     match message {
-        Message::News { news, passes_on } if whole.len() > MAX_DATAGRAM_BYTES => {
-            let news = Message::News { news: news.without_changes(), passes_on: *passes_on };
+        Message::StateUpdate { news, passes_on } if whole.len() > MAX_DATAGRAM_BYTES => {
+            let news = Message::StateUpdate { news: news.without_changes(), passes_on: *passes_on };
             codec::encode(&Datagram::Gossip(news))
         }
         Message::JoinReply(reply) if whole.len() > MAX_DATAGRAM_BYTES => {
--- a/crates/gateway/src/peers/fetch.rs
+++ b/crates/gateway/src/peers/fetch.rs
@@ -5,7 +5,7 @@
 use super::codec;
 use crate::host::Host;
 use clock::{Moment, sleep, timeout};
-use published::{Fetch, FetchReply, Question};
+use published::{Fetch, FetchReply, FetchRequest};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -50,7 +50,7 @@
     None
 }
 
-async fn ask(address: SocketAddr, question: Question) -> std::io::Result<FetchReply> {
+async fn ask(address: SocketAddr, question: FetchRequest) -> std::io::Result<FetchReply> {
     let connecting = TcpSocket::new_v4()?.connect(address);
     let mut stream = timeout(CONNECT_LIMIT, connecting).await??;
     let question = codec::encode(&question).map_err(std::io::Error::other)?;
@@ -65,7 +65,7 @@
 pub(super) async fn give(host: &Host, mut stream: TcpStream) -> std::io::Result<()> {
     let mut question = Vec::new();
     (&mut stream).take(MAX_ASKED_BYTES).read_to_end(&mut question).await?;
-    let question: Question = codec::decode(&question).map_err(std::io::Error::other)?;
+    let question: FetchRequest = codec::decode(&question).map_err(std::io::Error::other)?;
     let told = host.gossip.borrow().tell(host.now_ms(), question);
     // A host that can't help closes the connection, and another is asked.
     let Some(told) = told else { return Ok(()) };
--- a/crates/gateway/tests/codec.rs
+++ b/crates/gateway/tests/codec.rs
@@ -5,7 +5,7 @@
 use dispatch::scheduler::{Cell, PlacementMessage, Submission, Ticket};
 use domain::{Incarnation, Millis, RequestFingerprint};
 use gateway::peers::codec::{CodecError, Datagram, decode, encode};
-use published::{Capacity, Greeting, Held, Member, Message, Revision, RunStart};
+use published::{Capacity, HelloKind, KnownRevisions, Member, Message, Revision, RunStart};
 use rstest::rstest;
 
 fn hello() -> Message {
@@ -16,14 +16,14 @@
         address: "127.0.0.1:7000".parse().unwrap(),
         capacity: Capacity::default(),
     };
-    Message::Hello { from, greeting: Greeting::Asking, digest: 99 }
+    Message::Hello { from, greeting: HelloKind::Request, digest: 99 }
 }
 
 #[test]
 fn what_was_written_is_read() {
     assert_eq!(decode::<Message>(&encode(&hello()).unwrap()), Ok(hello()));
-    let held = Held { revision: Revision(12), routing: Some(Revision(3)) };
-    assert_eq!(decode::<Held>(&encode(&held).unwrap()), Ok(held));
+    let held = KnownRevisions { revision: Revision(12), routing: Some(Revision(3)) };
+    assert_eq!(decode::<KnownRevisions>(&encode(&held).unwrap()), Ok(held));
 }
 
 #[rstest]
--- a/crates/gateway/tests/datagram_bytes.rs
+++ b/crates/gateway/tests/datagram_bytes.rs
@@ -15,9 +15,9 @@
 use gateway::peers::codec::{Datagram, decode, encode};
 use published::{
     Bootstrap, BootstrapSnapshot, CallerLimits, Capacity, CatchUp, Change, Destination, Entry,
-    EvacuationEnd, FetchReply, Greeting, Held, Item, JoinReply, Member, Message, News, Question,
-    Removal, RemovalCause, Repeat, Revision, Route, Routing, RoutingPatch, RunStart,
-    ServiceSettings, Snapshot, Upstream, UpstreamMode,
+    EvacuationEnd, FetchReply, FetchRequest, HelloKind, Item, JoinReply, KnownRevisions, Member,
+    Message, Removal, RemovalCause, Repeat, Revision, Route, Routing, RoutingPatch, RunStart,
+    ServiceSettings, Snapshot, StateUpdate, Upstream, UpstreamMode,
 };
 use rstest::rstest;
 use serde::Serialize;
@@ -199,12 +199,12 @@
     }
 }
 
-fn hello(greeting: Greeting) -> Message {
+fn hello(greeting: HelloKind) -> Message {
     Message::Hello { from: member_1(), greeting, digest: u64::MAX - 1 }
 }
 
 fn news(changes: Option<Vec<Change>>) -> Message {
-    let news = News {
+    let news = StateUpdate {
         reader: member_1(),
         revision: Revision(4_020),
         age_ms: Millis(25),
@@ -212,7 +212,7 @@
         after: Revision(4_000),
         changes,
     };
-    Message::News { news, passes_on: true }
+    Message::StateUpdate { news, passes_on: true }
 }
 
 #[rstest]
@@ -245,15 +245,15 @@
      02000a000008e0360120010db8000000000000000000000009e1369601"
 )]
 #[case::asking(
-    hello(Greeting::Asking),
+    hello(HelloKind::Request),
     "0600020766726f6e742d31e907086b617269616b6f6f000a000001d93614820100feffffffffffffffff01"
 )]
 #[case::answering(
-    hello(Greeting::Answering),
+    hello(HelloKind::Reply),
     "0600020766726f6e742d31e907086b617269616b6f6f000a000001d93614820101feffffffffffffffff01"
 )]
 #[case::present(
-    hello(Greeting::Present),
+    hello(HelloKind::Alive),
     "0600020766726f6e742d31e907086b617269616b6f6f000a000001d93614820102feffffffffffffffff01"
 )]
 #[case::known(
@@ -324,9 +324,9 @@
     check(&Datagram::Gossip(message), hex);
 }
 
-fn question(routing: Option<Revision>) -> Question {
-    Question {
-        held: Held { revision: Revision(4_011), routing },
+fn question(routing: Option<Revision>) -> FetchRequest {
+    FetchRequest {
+        held: KnownRevisions { revision: Revision(4_011), routing },
         wanted: Revision(4_013),
         members: 9_876_543_211,
     }
@@ -335,7 +335,7 @@
 #[rstest]
 #[case::with_routing(question(Some(Revision(4_012))), "06ab1f01ac1fad1febadc0e524")]
 #[case::without_routing(question(None), "06ab1f00ad1febadc0e524")]
-fn a_question_keeps_its_bytes(#[case] question: Question, #[case] hex: &str) {
+fn a_question_keeps_its_bytes(#[case] question: FetchRequest, #[case] hex: &str) {
     check(&question, hex);
 }
 
--- a/crates/gateway/tests/scheduling.rs
+++ b/crates/gateway/tests/scheduling.rs
@@ -7,7 +7,7 @@
 use domain::{FastSet, Incarnation, Millis};
 use gateway::peers::codec::{Datagram, encode};
 use gateway::run::Gateway;
-use published::{Capacity, Greeting, Member, Message};
+use published::{Capacity, HelloKind, Member, Message};
 use std::net::UdpSocket;
 use support::caller::{Caller, get, post};
 use support::source::Published;
@@ -102,7 +102,7 @@
 
 fn introduce(gateway: &Gateway, from: Member) {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let hello = Datagram::Gossip(Message::Hello { from, greeting: Greeting::Present, digest: 0 });
+    let hello = Datagram::Gossip(Message::Hello { from, greeting: HelloKind::Alive, digest: 0 });
     let peers = gateway.host().settings.borrow().peers;
     socket.send_to(&encode(&hello).unwrap(), peers).unwrap();
 }
--- a/crates/published/src/gossip.rs
+++ b/crates/published/src/gossip.rs
@@ -6,16 +6,16 @@
 //! fetched from whoever told of it.
 
 mod effect;
-mod hearing;
 mod joining;
 mod message;
-mod telling;
+mod receiving;
+mod sending;
 
-pub use effect::{Effect, Fetch, FetchReply, Origin, Question};
+pub use effect::{Effect, Fetch, FetchReply, FetchRequest, Origin};
 pub use joining::{Bootstrap, JoinReply};
-pub use message::{Greeting, Message, News};
+pub use message::{HelloKind, Message, StateUpdate};
 
-use crate::{Change, Listener, Member, Members, Picture, Revision, Snapshot};
+use crate::{Change, Member, Members, PublishedState, Recipient, Revision, Snapshot};
 use domain::Millis;
 use joining::JoinState;
 use rand::RngExt;
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub struct Gossip {
     members: Members,
-    picture: Picture,
+    picture: PublishedState,
     rng: Pcg64Mcg,
     is_fetching: bool,
     fetched_ms: Option<Millis>,
@@ -53,7 +53,7 @@
     pub fn new(own: Member, rng: Pcg64Mcg) -> Gossip {
         Gossip {
             members: Members::new(own),
-            picture: Picture::default(),
+            picture: PublishedState::default(),
             rng,
             is_fetching: false,
             fetched_ms: None,
@@ -71,7 +71,7 @@
     }
 
     /// What is believed to be published.
-    pub fn picture(&self) -> &Picture {
+    pub fn picture(&self) -> &PublishedState {
         &self.picture
     }
 
@@ -90,7 +90,7 @@
         };
         let to = to.or_else(|| seeds.choose(&mut self.rng).copied()).into_iter().collect();
         let mut effects = Vec::new();
-        self.send(self.hello(Greeting::Asking), to, &mut effects);
+        self.send(self.hello(HelloKind::Request), to, &mut effects);
         effects
     }
 
@@ -133,7 +133,7 @@
     }
 
     /// Whom to tell what all hosts are to hear.
-    pub fn listeners(&mut self, now_ms: Millis) -> Vec<Listener> {
+    pub fn listeners(&mut self, now_ms: Millis) -> Vec<Recipient> {
         match self.is_leaving {
             true => Vec::new(),
             false => self.members.listeners(now_ms),
@@ -143,7 +143,7 @@
     /// Shows a peer whose message is passed on that this host is there.
     pub fn answer(&self, to: SocketAddr) -> Vec<Effect> {
         let mut effects = Vec::new();
-        self.send(self.hello(Greeting::Present), vec![to], &mut effects);
+        self.send(self.hello(HelloKind::Alive), vec![to], &mut effects);
         effects
     }
 
@@ -186,7 +186,7 @@
             Message::Known { members, passes_on } => {
                 self.take_known(now_ms, members, passes_on, sender, &mut effects);
             }
-            Message::News { news, passes_on } => {
+            Message::StateUpdate { news, passes_on } => {
                 self.take_news(now_ms, news, passes_on, sender, &mut effects);
             }
             Message::Unread { reader, passes_on } => {
@@ -202,7 +202,7 @@
     }
 
     /// What a peer lacks; none before this host holds what is wanted.
-    pub fn tell(&self, now_ms: Millis, question: Question) -> Option<FetchReply> {
+    pub fn tell(&self, now_ms: Millis, question: FetchRequest) -> Option<FetchReply> {
         let age_ms = self.picture.age_ms(now_ms)?;
         let is_help = self.picture.revision() >= question.wanted;
         let knows_more = question.members != self.members.digest();
@@ -232,7 +232,7 @@
         }
         if let Some(news) = fetch.passed_on {
             let age_ms = news.age_ms + now_ms.since(fetch.begun_ms);
-            self.pass_on_news(News { age_ms, ..news }, &mut effects);
+            self.pass_on_news(StateUpdate { age_ms, ..news }, &mut effects);
         }
         effects
     }
--- a/crates/published/src/gossip/effect.rs
+++ b/crates/published/src/gossip/effect.rs
@@ -1,7 +1,7 @@
 //! What follows from a message or a reading.
 
-use super::{Message, News};
-use crate::{Belief, CatchUp, Held, Member, Revision};
+use super::{Message, StateUpdate};
+use crate::{CatchUp, KnownRevisions, Member, Revision, StateChange};
 use domain::{HostId, Millis};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
     /// Something else is believed, or the same was confirmed.
     Believed {
         /// What changed; nothing if it was confirmed.
-        beliefs: Vec<Belief>,
+        beliefs: Vec<StateChange>,
         /// Where it comes from.
         from: Origin,
     },
@@ -85,19 +85,19 @@
     /// Whom to ask, one after the other until one answers.
     pub from: Vec<SocketAddr>,
     /// What is asked.
-    pub question: Question,
+    pub question: FetchRequest,
     /// When to begin: whom to ask is being told itself.
     pub after_ms: Millis,
     pub(super) begun_ms: Millis,
     /// What is to be passed on once nothing is missing.
-    pub(super) passed_on: Option<News>,
+    pub(super) passed_on: Option<StateUpdate>,
 }
 
 /// What a host asks that misses something.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
+pub struct FetchRequest {
     /// What it holds.
-    pub held: Held,
+    pub held: KnownRevisions,
     /// Who holds less than this is no help.
     pub wanted: Revision,
     /// Digest of the hosts that it knows.
--- a/crates/published/src/gossip/joining.rs
+++ b/crates/published/src/gossip/joining.rs
@@ -11,7 +11,7 @@
 
 pub(super) use answering::JoinState;
 
-use super::{Effect, Fetch, Gossip, Message, Origin, Question};
+use super::{Effect, Fetch, FetchRequest, Gossip, Message, Origin};
 use crate::{BootstrapSnapshot, Entry, Item, Member, Revision};
 use domain::{HostId, Millis};
 use rand::seq::IndexedRandom;
@@ -197,7 +197,7 @@
             return;
         }
         let (held, members) = (self.picture.held(), self.members.digest());
-        let question = Question { held, wanted, members };
+        let question = FetchRequest { held, wanted, members };
         let fetch = Fetch { from, question, after_ms, begun_ms: now_ms, passed_on: None };
         self.begin_fetch(now_ms, fetch, effects);
     }
--- a/crates/published/src/gossip/message.rs
+++ b/crates/published/src/gossip/message.rs
@@ -22,7 +22,7 @@
         /// Itself.
         from: Member,
         /// What it wants.
-        greeting: Greeting,
+        greeting: HelloKind,
         /// Digest of the hosts that it knows; equal sets need not be told.
         digest: u64,
     },
@@ -34,9 +34,9 @@
         passes_on: bool,
     },
     /// What a host read.
-    News {
+    StateUpdate {
         /// What it read.
-        news: News,
+        news: StateUpdate,
         /// Whether the host that hears it is to pass it on in its availability zone.
         passes_on: bool,
     },
@@ -58,18 +58,18 @@
 
 /// What a greeting is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Greeting {
+pub enum HelloKind {
     /// To be told of others and of the picture, if the two hosts know different ones.
-    Asking,
+    Request,
     /// It answers one that asked, and wants the same.
-    Answering,
+    Reply,
     /// It shows that the host is there.
-    Present,
+    Alive,
 }
 
 /// What a host read from the source, told by itself or passed on.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct StateUpdate {
     /// The host that read it.
     pub reader: Member,
     /// Nothing newer than this was published, so long ago.
@@ -84,9 +84,9 @@
     pub changes: Option<Vec<Change>>,
 }
 
-impl News {
+impl StateUpdate {
     /// The same for hosts that fetch what they lack: the changes are too large to be told.
-    pub fn without_changes(&self) -> News {
-        News { after: self.revision, changes: Some(Vec::new()), ..self.clone() }
+    pub fn without_changes(&self) -> StateUpdate {
+        StateUpdate { after: self.revision, changes: Some(Vec::new()), ..self.clone() }
     }
 }
--- a/crates/published/src/gossip/hearing.rs
+++ b/crates/published/src/gossip/receiving.rs
@@ -1,6 +1,8 @@
 //! What a host takes from its peers' messages.
 
-use super::{Effect, Fetch, FetchReply, Gossip, Greeting, Message, News, Origin, Question};
+use super::{
+    Effect, Fetch, FetchReply, FetchRequest, Gossip, HelloKind, Message, Origin, StateUpdate,
+};
 use crate::{CatchUp, Member};
 use domain::Millis;
 use rand::seq::SliceRandom;
@@ -41,7 +43,7 @@
         &mut self,
         now_ms: Millis,
         from: Member,
-        (greeting, digest): (Greeting, u64),
+        (greeting, digest): (HelloKind, u64),
         sender: SocketAddr,
         effects: &mut Vec<Effect>,
     ) {
@@ -50,13 +52,13 @@
         self.members.note_answer(&host);
         let knows_others = digest != self.members.digest();
         match greeting {
-            Greeting::Asking if knows_others => {
+            HelloKind::Request if knows_others => {
                 self.tell_members(sender, effects);
-                self.send(self.hello(Greeting::Answering), vec![sender], effects);
+                self.send(self.hello(HelloKind::Reply), vec![sender], effects);
                 self.offer(now_ms, sender, effects);
             }
-            Greeting::Answering if knows_others => self.tell_members(sender, effects),
-            Greeting::Asking | Greeting::Answering | Greeting::Present => {}
+            HelloKind::Reply if knows_others => self.tell_members(sender, effects),
+            HelloKind::Request | HelloKind::Reply | HelloKind::Alive => {}
         }
     }
 
@@ -71,7 +73,7 @@
         self.joins.note_announced(&members);
         self.note_all(now_ms, members.clone(), effects);
         if passes_on {
-            self.send(self.hello(Greeting::Present), vec![teller], effects);
+            self.send(self.hello(HelloKind::Alive), vec![teller], effects);
             self.pass_on(Message::Known { members, passes_on: false }, effects);
         }
     }
@@ -79,7 +81,7 @@
     pub(super) fn take_news(
         &mut self,
         now_ms: Millis,
-        news: News,
+        news: StateUpdate,
         passes_on: bool,
         teller: SocketAddr,
         effects: &mut Vec<Effect>,
@@ -91,7 +93,7 @@
             self.members.note_reader(now_ms, &news.reader.host);
         }
         if passes_on {
-            self.send(self.hello(Greeting::Present), vec![teller], effects);
+            self.send(self.hello(HelloKind::Alive), vec![teller], effects);
         }
         let is_gapless = self.take_told_changes(now_ms, &news, effects);
         let differs =
@@ -101,12 +103,12 @@
         match is_gapless {
             false => {
                 let passed_on = Some(news).filter(|_| passes_on);
-                let question = Question { held, wanted, members };
+                let question = FetchRequest { held, wanted, members };
                 self.fetch(now_ms, teller, question, passed_on, effects);
             }
             true => {
                 if differs {
-                    let question = Question { held: held.without_entries(), wanted, members };
+                    let question = FetchRequest { held: held.without_entries(), wanted, members };
                     self.fetch(now_ms, teller, question, None, effects);
                 }
                 if passes_on {
@@ -120,7 +122,7 @@
     fn take_told_changes(
         &mut self,
         now_ms: Millis,
-        news: &News,
+        news: &StateUpdate,
         effects: &mut Vec<Effect>,
     ) -> bool {
         let at_ms = now_ms - news.age_ms;
@@ -144,7 +146,7 @@
         self.note(now_ms, reader.clone(), effects);
         self.members.note_failed_reader(now_ms, &reader.host);
         if passes_on {
-            self.send(self.hello(Greeting::Present), vec![teller], effects);
+            self.send(self.hello(HelloKind::Alive), vec![teller], effects);
             self.pass_on(Message::Unread { reader, passes_on: false }, effects);
         }
     }
@@ -154,8 +156,8 @@
         &mut self,
         now_ms: Millis,
         teller: SocketAddr,
-        question: Question,
-        passed_on: Option<News>,
+        question: FetchRequest,
+        passed_on: Option<StateUpdate>,
         effects: &mut Vec<Effect>,
     ) {
         let is_early = self.fetched_ms.is_some_and(|at_ms| now_ms.since(at_ms) < FETCH_PAUSE_MS)
--- a/crates/published/src/gossip/telling.rs
+++ b/crates/published/src/gossip/sending.rs
@@ -1,7 +1,7 @@
 //! What a host says, and to whom.
 
-use super::{Effect, Gossip, Greeting, Message, News};
-use crate::{Change, Listener, Revision};
+use super::{Effect, Gossip, HelloKind, Message, StateUpdate};
+use crate::{Change, Recipient, Revision};
 use domain::Millis;
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 const MEMBERS_TOLD: usize = 100;
 
 impl Gossip {
-    pub(super) fn hello(&self, greeting: Greeting) -> Message {
+    pub(super) fn hello(&self, greeting: HelloKind) -> Message {
         let digest = self.members.digest();
         Message::Hello { from: self.members.own().clone(), greeting, digest }
     }
@@ -25,13 +25,13 @@
     pub(super) fn offer(&self, now_ms: Millis, to: SocketAddr, effects: &mut Vec<Effect>) {
         if self.picture.confirmed_ms().is_some() {
             let news = self.news(now_ms, self.picture.revision(), None);
-            self.send(Message::News { news, passes_on: false }, vec![to], effects);
+            self.send(Message::StateUpdate { news, passes_on: false }, vec![to], effects);
         }
     }
 
     /// What this host holds, as news.
-    fn news(&self, now_ms: Millis, after: Revision, changes: Option<Vec<Change>>) -> News {
-        News {
+    fn news(&self, now_ms: Millis, after: Revision, changes: Option<Vec<Change>>) -> StateUpdate {
+        StateUpdate {
             reader: self.members.own().clone(),
             revision: self.picture.revision(),
             age_ms: self.picture.age_ms(now_ms).unwrap_or_default(),
@@ -49,7 +49,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let news = self.news(now_ms, after, Some(changes));
-        let told = |passes_on| Message::News { news: news.clone(), passes_on };
+        let told = |passes_on| Message::StateUpdate { news: news.clone(), passes_on };
         self.tell_fleet(now_ms, told, effects);
     }
 
@@ -63,13 +63,13 @@
         let listeners = self.members.listeners(now_ms);
         for passes_on in [true, false] {
             let told = listeners.iter().filter(|listener| listener.passes_on == passes_on);
-            let to = told.map(|&Listener { address, .. }| address).collect();
+            let to = told.map(|&Recipient { address, .. }| address).collect();
             self.send(message(passes_on), to, effects);
         }
     }
 
-    pub(super) fn pass_on_news(&self, news: News, effects: &mut Vec<Effect>) {
-        self.pass_on(Message::News { news, passes_on: false }, effects);
+    pub(super) fn pass_on_news(&self, news: StateUpdate, effects: &mut Vec<Effect>) {
+        self.pass_on(Message::StateUpdate { news, passes_on: false }, effects);
     }
 
     /// Tells the other hosts of this zone what a host of another zone told.
--- a/crates/published/src/members.rs
+++ b/crates/published/src/members.rs
@@ -5,9 +5,9 @@
 //! for all, and by how many a budget of the fleet is to be divided. The second must not
 //! grow while hosts are out of sight, so a host is forgotten long after it was last heard.
 
-mod telling;
+mod recipients;
 
-pub use telling::Listener;
+pub use recipients::Recipient;
 
 use decision_core::{Job, Role};
 use domain::{FastMap, HostId, Incarnation, Millis, Wakefulness, ZoneName};
--- a/crates/published/src/members/telling.rs
+++ b/crates/published/src/members/recipients.rs
@@ -21,7 +21,7 @@
 
 /// A host that is to be told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Listener {
+pub struct Recipient {
     /// Where it hears its peers.
     pub address: SocketAddr,
     /// Whether it is to pass the news on in its availability zone, and to answer.
@@ -30,7 +30,7 @@
 
 impl Members {
     /// Whom a reader tells.
-    pub fn listeners(&mut self, now_ms: Millis) -> Vec<Listener> {
+    pub fn listeners(&mut self, now_ms: Millis) -> Vec<Recipient> {
         let own_zone = self.own.availability_zone.clone();
         let mut zones: FastMap<ZoneName, Vec<&mut Known>> = FastMap::default();
         for known in self.others.values_mut() {
@@ -40,9 +40,9 @@
             true => hosts.iter().map(|known| known.listener(false)).collect(),
             false => tell_zone(now_ms, hosts),
         };
-        let told: Vec<Listener> = zones.into_iter().flat_map(tell).collect();
+        let told: Vec<Recipient> = zones.into_iter().flat_map(tell).collect();
         let leaving = self.leaving_neighbours();
-        let leaving = leaving.map(|address| Listener { address, passes_on: false });
+        let leaving = leaving.map(|address| Recipient { address, passes_on: false });
         told.into_iter().chain(leaving).collect()
     }
 
@@ -59,7 +59,7 @@
     }
 }
 
-fn tell_zone(now_ms: Millis, mut hosts: Vec<&mut Known>) -> Vec<Listener> {
+fn tell_zone(now_ms: Millis, mut hosts: Vec<&mut Known>) -> Vec<Recipient> {
     if hosts.len() <= RELAYS {
         return hosts.iter().map(|known| known.listener(false)).collect();
     }
@@ -72,8 +72,8 @@
 }
 
 impl Known {
-    fn listener(&self, passes_on: bool) -> Listener {
-        Listener { address: self.member.address, passes_on }
+    fn listener(&self, passes_on: bool) -> Recipient {
+        Recipient { address: self.member.address, passes_on }
     }
 
     fn is_silent(&self, now_ms: Millis) -> bool {
--- a/crates/published/src/reading.rs
+++ b/crates/published/src/reading.rs
@@ -11,7 +11,7 @@
 
 pub use start::{Start, covers_services};
 
-use crate::{Members, Picture};
+use crate::{Members, PublishedState};
 use domain::Millis;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -131,7 +131,7 @@
         &mut self,
         now_ms: Millis,
         members: &Members,
-        picture: &Picture,
+        picture: &PublishedState,
         is_wanted: bool,
     ) -> ReadStep {
         let samples = is_wanted && self.may_sample && !self.has_first;
@@ -196,7 +196,7 @@
         self.needs_whole = true;
     }
 
-    fn due_ms(&mut self, now_ms: Millis, members: &Members, picture: &Picture) -> Millis {
+    fn due_ms(&mut self, now_ms: Millis, members: &Members, picture: &PublishedState) -> Millis {
         let Some(confirmed_ms) = picture.confirmed_ms() else {
             let rest_ms = if self.has_first { self.rest_wait_ms } else { Millis::ZERO };
             return self.started_ms + self.start_wait_ms + rest_ms;
@@ -216,7 +216,7 @@
 
     /// While the source is away for all, the hosts' tries are spread at random over the time
     /// in which each is to try once. Any reading that is heard of ends that.
-    fn hold(&mut self, now_ms: Millis, members: &Members, picture: &Picture) -> Millis {
+    fn hold(&mut self, now_ms: Millis, members: &Members, picture: &PublishedState) -> Millis {
         // A source that told that its history is gone is there.
         if self.needs_whole {
             self.hold = None;
--- a/crates/published/src/picture.rs
+++ b/crates/published/src/state.rs
@@ -13,12 +13,12 @@
 mod routing;
 
 pub use bootstrap::BootstrapSnapshot;
-pub use catch_up::{CatchUp, Held};
+pub use catch_up::{CatchUp, KnownRevisions};
 use entries::{Lapsed, TOMBSTONE_MS, Tombstone};
 
 use crate::{
-    Belief, Change, Entry, EvacuationEnd, Evacuations, Item, Removal, RemovalCause, Revision,
-    Routing, RoutingPatch, Snapshot, Upstream,
+    Change, Entry, EvacuationEnd, Evacuations, Item, Removal, RemovalCause, Revision, Routing,
+    RoutingPatch, Snapshot, StateChange, Upstream,
 };
 use domain::{FastMap, FastSet, Millis, UpstreamId};
 use std::sync::Arc;
@@ -33,7 +33,7 @@
 
 /// What is believed to be published.
 #[derive(Debug, Default)]
-pub struct Picture {
+pub struct PublishedState {
     routing: Option<Entry<Arc<Routing>>>,
     evacuations: Evacuations,
     upstreams: FastMap<UpstreamId, Entry<Arc<Upstream>>>,
@@ -48,7 +48,7 @@
     removals_since: Revision,
 }
 
-impl Picture {
+impl PublishedState {
     /// The routing in force.
     pub fn routing(&self) -> Option<&Entry<Arc<Routing>>> {
         self.routing.as_ref()
@@ -69,7 +69,7 @@
         self.revision
     }
 
-    /// Last time at which nothing newer than [`Picture::revision`] was published.
+    /// Last time at which nothing newer than [`PublishedState::revision`] was published.
     pub fn confirmed_ms(&self) -> Option<Millis> {
         self.confirmed_ms
     }
@@ -128,7 +128,7 @@
     }
 
     /// Takes a whole reading, made at `at_ms`.
-    pub fn take_whole(&mut self, at_ms: Millis, whole: Snapshot) -> Vec<Belief> {
+    pub fn take_whole(&mut self, at_ms: Millis, whole: Snapshot) -> Vec<StateChange> {
         self.note_return(at_ms);
         let mut beliefs = Vec::new();
         let is_newest = whole.revision >= self.revision;
@@ -167,7 +167,7 @@
         after: Revision,
         revision: Revision,
         changes: Vec<Change>,
-    ) -> (Vec<Belief>, bool) {
+    ) -> (Vec<StateChange>, bool) {
         self.note_return(at_ms);
         let mut beliefs = Vec::new();
         let mut is_gapless = after <= self.revision;
@@ -189,7 +189,7 @@
     /// Takes what a peer told of what was missing, known to it at `at_ms`.
     ///
     /// Returns false beside the beliefs where something is missing still.
-    pub fn take_catch_up(&mut self, at_ms: Millis, catch_up: CatchUp) -> (Vec<Belief>, bool) {
+    pub fn take_catch_up(&mut self, at_ms: Millis, catch_up: CatchUp) -> (Vec<StateChange>, bool) {
         match catch_up {
             CatchUp::Whole(whole) => (self.take_whole(at_ms, whole), true),
             CatchUp::Changes { after, revision, changes } => {
@@ -199,7 +199,7 @@
     }
 
     /// Drops lapsed entries whose time to come back is over.
-    pub fn settle(&mut self, now_ms: Millis) -> Vec<Belief> {
+    pub fn settle(&mut self, now_ms: Millis) -> Vec<StateChange> {
         let is_over = |lapsed: &Lapsed| lapsed.until_ms <= now_ms;
         let over: Vec<Removal> = self
             .lapsed
@@ -245,7 +245,7 @@
             .collect()
     }
 
-    fn write(&mut self, entry: Entry<Item>, beliefs: &mut Vec<Belief>) {
+    fn write(&mut self, entry: Entry<Item>, beliefs: &mut Vec<StateChange>) {
         match entry.value {
             Item::Routing(routing) => {
                 self.write_routing(Entry { revision: entry.revision, value: routing }, beliefs);
@@ -257,7 +257,7 @@
             Item::Evacuation(zone) => {
                 let revision = entry.revision;
                 if self.evacuations.begin(revision, zone.clone()) {
-                    beliefs.push(Belief::ZoneEvacuated { zone, revision });
+                    beliefs.push(StateChange::ZoneEvacuated { zone, revision });
                 }
             }
         }
--- a/crates/published/src/picture/bootstrap.rs
+++ b/crates/published/src/state/bootstrap.rs
@@ -5,9 +5,9 @@
 //! it is told them; for the whole picture of a thousand upstreams it needs some hundred
 //! milliseconds, and the host that tells it as long again for each host that asks.
 
-use super::Picture;
+use super::PublishedState;
 use crate::preference::{Preferred, preferred};
-use crate::{Belief, Eligibility, Entry, Item, Revision, Snapshot, Upstream};
+use crate::{Eligibility, Entry, Item, Revision, Snapshot, StateChange, Upstream};
 use domain::{FastMap, HostId, Millis, ServiceName, ZoneName};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -47,7 +47,7 @@
     }
 }
 
-impl Picture {
+impl PublishedState {
     /// What a host of an availability zone begins with; none before a routing is held here, or it
     /// is known that none is published yet.
     pub fn bootstrap_for(
@@ -114,7 +114,7 @@
     }
 
     /// Takes a first picture, known at `at_ms`. One that is not whole confirms nothing.
-    pub fn take_bootstrap(&mut self, at_ms: Millis, first: BootstrapSnapshot) -> Vec<Belief> {
+    pub fn take_bootstrap(&mut self, at_ms: Millis, first: BootstrapSnapshot) -> Vec<StateChange> {
         let BootstrapSnapshot { revision, items, is_whole, .. } = first;
         if is_whole {
             return self.take_whole(at_ms, Snapshot { revision, items, overwritten: Vec::new() });
@@ -123,7 +123,7 @@
     }
 
     /// Takes a part of what is published, to begin with.
-    pub fn take_items(&mut self, items: Vec<Entry<Item>>) -> Vec<Belief> {
+    pub fn take_items(&mut self, items: Vec<Entry<Item>>) -> Vec<StateChange> {
         let mut beliefs = Vec::new();
         for entry in items {
             self.write(entry, &mut beliefs);
--- a/crates/published/src/picture/catch_up.rs
+++ b/crates/published/src/state/catch_up.rs
@@ -3,24 +3,24 @@
 //! A host that missed news asks a peer. It says what it holds and is told what came since:
 //! on a fleet of 124 hosts whole pictures were 22 of 31 MB between availability zones.
 
-use super::Picture;
+use super::PublishedState;
 use crate::{Change, Entry, Item, Revision, Routing, Snapshot};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
 /// What a picture holds, for a peer that is asked for the rest.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct KnownRevisions {
     /// No change up to here is missing.
     pub revision: Revision,
     /// The routing in force.
     pub routing: Option<Revision>,
 }
 
-impl Held {
+impl KnownRevisions {
     /// The same, but for entries: all of them are wanted.
-    pub fn without_entries(self) -> Held {
-        Held { revision: Revision(0), ..self }
+    pub fn without_entries(self) -> KnownRevisions {
+        KnownRevisions { revision: Revision(0), ..self }
     }
 }
 
@@ -50,15 +50,15 @@
     }
 }
 
-impl Picture {
+impl PublishedState {
     /// What this picture holds.
-    pub fn held(&self) -> Held {
+    pub fn held(&self) -> KnownRevisions {
         let routing = self.routing.as_ref().map(|entry| entry.revision);
-        Held { revision: self.revision, routing }
+        KnownRevisions { revision: self.revision, routing }
     }
 
     /// What a peer needs that holds so much.
-    pub fn catch_up(&self, held: Held) -> CatchUp {
+    pub fn catch_up(&self, held: KnownRevisions) -> CatchUp {
         match held.revision < self.removals_since {
             true => CatchUp::Whole(self.whole_without(held.routing)),
             false => CatchUp::Changes {
@@ -78,7 +78,7 @@
         whole
     }
 
-    fn changes_since(&self, held: Held) -> Vec<Change> {
+    fn changes_since(&self, held: KnownRevisions) -> Vec<Change> {
         let is_news = |revision: Revision| revision > held.revision;
         let written = self.upstreams.values().filter(|entry| is_news(entry.revision));
         let written = written.map(|entry| {
--- a/crates/published/src/picture/entries.rs
+++ b/crates/published/src/state/entries.rs
@@ -1,8 +1,10 @@
 //! The picture's entries: each moves forward by its own revision, and an end is remembered for a
 //! while against late news.
 
-use super::{Picture, RETURN_GRACE_MS};
-use crate::{Belief, Entry, Removal, RemovalCause, Revision, RunStart, Upstream, UpstreamMode};
+use super::{PublishedState, RETURN_GRACE_MS};
+use crate::{
+    Entry, Removal, RemovalCause, Revision, RunStart, StateChange, Upstream, UpstreamMode,
+};
 use domain::{Millis, UpstreamId};
 use std::sync::Arc;
 
@@ -42,11 +44,11 @@
 /// Tombstones guard against late news of removed entries; no news is older than this.
 pub(super) const TOMBSTONE_MS: Millis = Millis(60_000);
 
-impl Picture {
+impl PublishedState {
     pub(super) fn write_upstream(
         &mut self,
         entry: Entry<Arc<Upstream>>,
-        beliefs: &mut Vec<Belief>,
+        beliefs: &mut Vec<StateChange>,
     ) {
         let (id, revision) = (entry.value.id.clone(), entry.revision);
         let is_buried = self.removed.get(&id).is_some_and(|tombstone| tombstone.buries(&entry));
@@ -57,7 +59,7 @@
         let entry = with_known_start(entry, held);
         match held {
             Some(held) if entry.value.is_later_run_than(&held.value) => {
-                beliefs.push(Belief::UpstreamRestarted {
+                beliefs.push(StateChange::UpstreamRestarted {
                     upstream: id.clone(),
                     revision,
                     former_start_ms: held.value.run,
@@ -68,16 +70,16 @@
         }
         if self.lapsed.get(&id).is_some_and(|lapsed| lapsed.revision < revision) {
             self.lapsed.remove(&id);
-            beliefs.push(Belief::UpstreamReturned { upstream: id.clone(), revision });
+            beliefs.push(StateChange::UpstreamReturned { upstream: id.clone(), revision });
         }
         let was = held.map(|held| held.value.mode);
         match entry.value.mode {
             mode if was == Some(mode) => {}
             UpstreamMode::Ready => {
-                beliefs.push(Belief::UpstreamJoined { upstream: id.clone(), revision });
+                beliefs.push(StateChange::UpstreamJoined { upstream: id.clone(), revision });
             }
             UpstreamMode::Draining => {
-                beliefs.push(Belief::UpstreamLeaving { upstream: id.clone(), revision });
+                beliefs.push(StateChange::UpstreamLeaving { upstream: id.clone(), revision });
             }
         }
         // From here on the newer entry guards against late news.
@@ -85,7 +87,12 @@
         self.upstreams.insert(id, entry);
     }
 
-    pub(super) fn remove(&mut self, now_ms: Millis, removal: Removal, beliefs: &mut Vec<Belief>) {
+    pub(super) fn remove(
+        &mut self,
+        now_ms: Millis,
+        removal: Removal,
+        beliefs: &mut Vec<StateChange>,
+    ) {
         let Some(held) = self.upstreams.get(&removal.upstream) else {
             self.bury(now_ms, &removal);
             return;
@@ -105,11 +112,11 @@
         }
     }
 
-    fn lapse(&mut self, removal: Removal, until_ms: Millis, beliefs: &mut Vec<Belief>) {
+    fn lapse(&mut self, removal: Removal, until_ms: Millis, beliefs: &mut Vec<StateChange>) {
         let Removal { upstream, revision, .. } = removal;
         let lapsed = Lapsed { revision, until_ms };
         if self.lapsed.insert(upstream.clone(), lapsed).is_none() {
-            beliefs.push(Belief::UpstreamLapsed { upstream, until_ms });
+            beliefs.push(StateChange::UpstreamLapsed { upstream, until_ms });
         }
     }
 
@@ -117,13 +124,13 @@
         &mut self,
         now_ms: Millis,
         removal: Removal,
-        beliefs: &mut Vec<Belief>,
+        beliefs: &mut Vec<StateChange>,
     ) {
         self.bury(now_ms, &removal);
         self.lapsed.remove(&removal.upstream);
         if self.upstreams.remove(&removal.upstream).is_some() {
             let Removal { upstream, revision, cause } = removal;
-            beliefs.push(Belief::UpstreamGone { upstream, revision, cause });
+            beliefs.push(StateChange::UpstreamGone { upstream, revision, cause });
         }
     }
 
--- a/crates/published/src/picture/evacuated.rs
+++ b/crates/published/src/state/evacuated.rs
@@ -1,11 +1,11 @@
 //! The picture's evacuated zones: what peers are told of them, and how they end.
 
-use super::Picture;
-use crate::{Belief, Entry, EvacuationEnd, Evacuations, Item, Revision, Snapshot, Upstream};
+use super::PublishedState;
+use crate::{Entry, EvacuationEnd, Evacuations, Item, Revision, Snapshot, StateChange, Upstream};
 use domain::{FastSet, Millis, ZoneName};
 use std::sync::Arc;
 
-impl Picture {
+impl PublishedState {
     /// The availability zones that are evacuated.
     pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
@@ -43,11 +43,11 @@
         &mut self,
         now_ms: Millis,
         end: EvacuationEnd,
-        beliefs: &mut Vec<Belief>,
+        beliefs: &mut Vec<StateChange>,
     ) {
         if self.evacuations.end(now_ms, end.clone()) {
             let EvacuationEnd { zone, revision } = end;
-            beliefs.push(Belief::ZoneRestored { zone, revision });
+            beliefs.push(StateChange::ZoneRestored { zone, revision });
         }
     }
 }
--- a/crates/published/src/picture/routing.rs
+++ b/crates/published/src/state/routing.rs
@@ -1,12 +1,16 @@
 //! The picture's routing, taken whole or as its difference from the one before.
 
-use super::Picture;
-use crate::{Belief, Change, Entry, Item, Routing, RoutingPatch};
+use super::PublishedState;
+use crate::{Change, Entry, Item, Routing, RoutingPatch, StateChange};
 use std::sync::Arc;
 
-impl Picture {
+impl PublishedState {
     /// False if the routing that the patch is for is not held.
-    pub(super) fn patch(&mut self, entry: &Entry<RoutingPatch>, beliefs: &mut Vec<Belief>) -> bool {
+    pub(super) fn patch(
+        &mut self,
+        entry: &Entry<RoutingPatch>,
+        beliefs: &mut Vec<StateChange>,
+    ) -> bool {
         let patched = match &self.routing {
             Some(held) if held.revision >= entry.revision => return true,
             Some(held) if held.revision == entry.value.base => entry.value.apply(&held.value),
@@ -37,16 +41,20 @@
         changes.iter().map(patch).collect()
     }
 
-    pub(super) fn write_routing(&mut self, entry: Entry<Arc<Routing>>, beliefs: &mut Vec<Belief>) {
+    pub(super) fn write_routing(
+        &mut self,
+        entry: Entry<Arc<Routing>>,
+        beliefs: &mut Vec<StateChange>,
+    ) {
         let version = entry.value.version;
         match &self.routing {
             Some(held) if held.revision >= entry.revision => {}
             Some(held) if held.value.version > version => {
                 let in_force = held.value.version;
-                beliefs.push(Belief::RoutingRefused { version, in_force });
+                beliefs.push(StateChange::RoutingRefused { version, in_force });
             }
             _ => {
-                beliefs.push(Belief::RoutingInForce { version, revision: entry.revision });
+                beliefs.push(StateChange::RoutingInForce { version, revision: entry.revision });
                 self.routing = Some(entry);
             }
         }
--- a/crates/published/src/belief.rs
+++ b/crates/published/src/state_change.rs
@@ -7,7 +7,7 @@
 /// A change of what is believed, for logs.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(tag = "belief", rename_all = "kebab-case")]
-pub enum Belief {
+pub enum StateChange {
     /// A routing is in force.
     RoutingInForce {
         /// Its version.
--- a/crates/published/tests/catch_up.rs
+++ b/crates/published/tests/catch_up.rs
@@ -4,21 +4,21 @@
 mod support;
 
 use domain::Millis;
-use published::{AWAY_MS, CatchUp, Change, Picture, RETURN_GRACE_MS, Revision};
+use published::{AWAY_MS, CatchUp, Change, PublishedState, RETURN_GRACE_MS, Revision};
 use rstest::rstest;
 use support::{draining, removed, routing, whole, written};
 
 const BEGIN_MS: Millis = Millis(10);
 
 /// A picture as of revision 10.
-fn picture() -> Picture {
-    let mut picture = Picture::default();
+fn picture() -> PublishedState {
+    let mut picture = PublishedState::default();
     let items = vec![routing(1, 7), written(2, "a"), written(3, "b"), written(4, "c")];
     picture.take_whole(BEGIN_MS, whole(10, items));
     picture
 }
 
-fn take(picture: &mut Picture, changes: &[Change]) {
+fn take(picture: &mut PublishedState, changes: &[Change]) {
     let after = picture.revision();
     let told = picture.patched(changes);
     let revision = Revision(after.0 + 10);
@@ -60,7 +60,7 @@
 #[test]
 fn who_holds_nothing_is_told_everything() {
     let teller = picture();
-    let mut new = Picture::default();
+    let mut new = PublishedState::default();
     let CatchUp::Whole(everything) = teller.catch_up(new.held()) else { panic!() };
     assert_eq!(everything.items.len(), 4);
     new.take_catch_up(Millis(20), CatchUp::Whole(everything));
@@ -71,7 +71,7 @@
 fn who_holds_another_set_under_the_same_revision_is_told_all_entries_but_no_routing() {
     let (teller, mut other) = (picture(), picture());
     take(&mut other, &[]);
-    let mut torn = Picture::default();
+    let mut torn = PublishedState::default();
     torn.take_whole(BEGIN_MS, whole(10, vec![routing(1, 7), written(2, "a"), written(5, "x")]));
     assert_ne!(torn.digest(), teller.digest());
     let CatchUp::Whole(everything) = teller.catch_up(torn.held().without_entries()) else {
@@ -96,7 +96,7 @@
 }
 
 /// A teller whose entry `a` lapsed while the source was away, and a peer that missed it.
-fn lapsed() -> (Picture, Picture) {
+fn lapsed() -> (PublishedState, PublishedState) {
     let (mut teller, behind) = (picture(), picture());
     let return_ms = BEGIN_MS + AWAY_MS + Millis(1);
     teller.take_changes(return_ms, Revision(10), Revision(11), vec![removed(11, "a")]);
@@ -119,7 +119,7 @@
 #[test]
 fn who_is_new_is_not_told_of_what_lapsed() {
     let (teller, _) = lapsed();
-    let mut new = Picture::default();
+    let mut new = PublishedState::default();
     new.take_catch_up(BEGIN_MS + AWAY_MS, teller.catch_up(new.held()));
     assert_eq!(new.upstreams().count(), 2);
     assert_eq!(new.digest(), teller.digest(), "they hold the same of what is published");
--- a/crates/published/tests/evacuation.rs
+++ b/crates/published/tests/evacuation.rs
@@ -5,8 +5,8 @@
 
 use domain::Millis;
 use published::{
-    Belief, BootstrapSnapshot, Change, Eligibility, Entry, EvacuationEnd, Item, Picture, Revision,
-    Snapshot, UpstreamMode,
+    BootstrapSnapshot, Change, Eligibility, Entry, EvacuationEnd, Item, PublishedState, Revision,
+    Snapshot, StateChange, UpstreamMode,
 };
 use rstest::rstest;
 use support::site::{Broken, Fault, Site, Spell};
@@ -24,7 +24,7 @@
     Change::EvacuationEnded(EvacuationEnd { zone, revision })
 }
 
-fn zones(picture: &Picture) -> Vec<String> {
+fn zones(picture: &PublishedState) -> Vec<String> {
     let mut zones: Vec<String> =
         picture.evacuations().in_force().map(|(zone, _)| zone.to_string()).collect();
     zones.sort();
@@ -32,8 +32,8 @@
 }
 
 /// Holds everything up to a revision.
-fn holding(revision: u64, items: Vec<Change>) -> Picture {
-    let mut picture = Picture::default();
+fn holding(revision: u64, items: Vec<Change>) -> PublishedState {
+    let mut picture = PublishedState::default();
     picture.take_whole(NOW, whole(revision, items));
     picture
 }
@@ -48,7 +48,7 @@
 #[case::each_by_itself(vec![evacuated(1, "a"), evacuated(2, "b"), restored(3, "a")], &["b"])]
 #[case::written_over(vec![evacuated(1, "a"), evacuated(2, "a"), restored(3, "a")], &[])]
 fn evacuations_move_forward_only(#[case] changes: Vec<Change>, #[case] left: &[&str]) {
-    let mut picture = Picture::default();
+    let mut picture = PublishedState::default();
     for change in changes {
         picture.take_changes(NOW, Revision(0), Revision(0), vec![change]);
     }
@@ -81,13 +81,13 @@
     assert!(is_gapless);
     assert_eq!((zones(&missed), missed.digest()), (vec!["kariakoo".to_owned()], knows.digest()));
     let zone = "kariakoo".parse().unwrap();
-    assert!(beliefs.contains(&Belief::ZoneEvacuated { zone, revision: Revision(2) }));
+    assert!(beliefs.contains(&StateChange::ZoneEvacuated { zone, revision: Revision(2) }));
 }
 
 #[test]
 fn who_lost_its_history_is_told_with_the_whole() {
     let knows = holding(4, vec![written(1, "i-1"), evacuated(2, "kariakoo")]);
-    let mut fresh = Picture::default();
+    let mut fresh = PublishedState::default();
     fresh.take_whole(NOW, knows.whole());
     assert_eq!(zones(&fresh), ["kariakoo"]);
 }
@@ -126,7 +126,7 @@
 #[case::the_preferred_ones_only(400)]
 fn a_host_that_starts_knows_it_with_its_first_page(#[case] upstreams: usize) {
     let snapshot = first_page(upstreams);
-    let mut fresh = Picture::default();
+    let mut fresh = PublishedState::default();
     fresh.take_bootstrap(NOW, snapshot);
     assert_eq!(zones(&fresh), ["kariakoo"]);
     let usable = fresh
@@ -150,7 +150,7 @@
     #[case] mode: UpstreamMode,
     #[case] wanted: Eligibility,
 ) {
-    let mut picture = Picture::default();
+    let mut picture = PublishedState::default();
     picture.take_changes(NOW, Revision(0), Revision(2), changes);
     assert_eq!(upstream("i-1", mode).eligibility(picture.evacuations()), wanted);
 }
--- a/crates/published/tests/joining.rs
+++ b/crates/published/tests/joining.rs
@@ -90,7 +90,7 @@
     seed.take_changes(NOW, Revision(201), Revision(400), &leaving);
     let told = |offer: Bootstrap| match offer {
         Bootstrap::Partial { snapshot: first, .. } => {
-            let mut joining = published::Picture::default();
+            let mut joining = published::PublishedState::default();
             joining.take_bootstrap(NOW, first);
             assert!(joining.upstreams().all(|entry| entry.value.mode == UpstreamMode::Ready));
             let mut ids: Vec<String> =
--- a/crates/published/tests/reading.rs
+++ b/crates/published/tests/reading.rs
@@ -2,7 +2,9 @@
 #![allow(clippy::unwrap_used)]
 
 use domain::{HostId, Incarnation, Millis};
-use published::{Capacity, Member, Members, Picture, ReadStep, Reader, Revision, Snapshot, Start};
+use published::{
+    Capacity, Member, Members, PublishedState, ReadStep, Reader, Revision, Snapshot, Start,
+};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
@@ -32,7 +34,7 @@
 /// One host of a fleet that knows all others.
 struct Host {
     members: Members,
-    picture: Picture,
+    picture: PublishedState,
     reader: Reader,
     /// Callers wait for a routing.
     is_wanted: bool,
@@ -50,7 +52,7 @@
         }
         let rng = Pcg64Mcg::seed_from_u64(number);
         let reader = Reader::new(rng, Millis::ZERO, start);
-        Host { members, picture: Picture::default(), reader, is_wanted: false }
+        Host { members, picture: PublishedState::default(), reader, is_wanted: false }
     }
 
     fn step(&mut self, now_ms: Millis) -> ReadStep {
--- a/crates/published/tests/restart.rs
+++ b/crates/published/tests/restart.rs
@@ -5,7 +5,8 @@
 
 use domain::Millis;
 use published::{
-    AWAY_MS, Belief, Change, Picture, RETURN_GRACE_MS, RemovalCause, Revision, RunStart, Snapshot,
+    AWAY_MS, Change, PublishedState, RETURN_GRACE_MS, RemovalCause, Revision, RunStart, Snapshot,
+    StateChange,
 };
 use rstest::rstest;
 use support::{draining, id, of_run, overwritten, removal, removed, whole, written};
@@ -14,8 +15,8 @@
     RunStart(Some(Millis(start_ms)))
 }
 
-fn restarted(revision: u64, former_ms: u64, now_ms: u64) -> Belief {
-    Belief::UpstreamRestarted {
+fn restarted(revision: u64, former_ms: u64, now_ms: u64) -> StateChange {
+    StateChange::UpstreamRestarted {
         upstream: id("a"),
         revision: Revision(revision),
         former_start_ms: start(former_ms),
@@ -25,7 +26,7 @@
 
 /// The run that is believed after these changes; none if there is no entry.
 fn run_after(changes: Vec<Change>) -> Option<RunStart> {
-    let mut picture = Picture::default();
+    let mut picture = PublishedState::default();
     for change in changes {
         picture.take_changes(Millis(10), Revision(0), Revision(0), vec![change]);
     }
@@ -66,9 +67,9 @@
 
 #[test]
 fn a_restart_is_told_once_with_both_starts() {
-    let mut picture = Picture::default();
+    let mut picture = PublishedState::default();
     picture.take_whole(Millis(10), whole(1, vec![of_run(1, "a", 100)]));
-    let take = |picture: &mut Picture, revision, change| {
+    let take = |picture: &mut PublishedState, revision, change| {
         picture.take_changes(Millis(20), Revision(revision - 1), Revision(revision), vec![change]).0
     };
     assert_eq!(take(&mut picture, 2, of_run(2, "a", 200)), [restarted(2, 100, 200)]);
@@ -79,24 +80,24 @@
 
 #[test]
 fn a_run_that_begins_while_its_former_was_leaving_takes_work() {
-    let mut picture = Picture::default();
+    let mut picture = PublishedState::default();
     picture.take_whole(Millis(10), whole(2, vec![of_run(1, "a", 100)]));
     picture.take_changes(Millis(11), Revision(2), Revision(3), vec![draining(3, "a")]);
     let (beliefs, _) =
         picture.take_changes(Millis(12), Revision(3), Revision(4), vec![of_run(4, "a", 200)]);
-    let joined = Belief::UpstreamJoined { upstream: id("a"), revision: Revision(4) };
+    let joined = StateChange::UpstreamJoined { upstream: id("a"), revision: Revision(4) };
     assert_eq!(beliefs, [restarted(4, 100, 200), joined]);
 }
 
 #[test]
 fn a_run_that_begins_while_its_former_had_lapsed_is_back() {
-    let mut picture = Picture::default();
+    let mut picture = PublishedState::default();
     picture.take_whole(Millis(1_000), whole(5, vec![of_run(1, "a", 100)]));
     let at_ms = Millis(1_001) + AWAY_MS;
     picture.take_changes(at_ms, Revision(5), Revision(6), vec![removed(6, "a")]);
     let (beliefs, _) =
         picture.take_changes(at_ms, Revision(6), Revision(7), vec![of_run(7, "a", 200)]);
-    let returned = Belief::UpstreamReturned { upstream: id("a"), revision: Revision(7) };
+    let returned = StateChange::UpstreamReturned { upstream: id("a"), revision: Revision(7) };
     assert_eq!(beliefs, [restarted(7, 100, 200), returned]);
     assert!(picture.settle(at_ms + RETURN_GRACE_MS).is_empty());
     assert!(picture.upstream(&id("a")).is_some());
@@ -104,23 +105,23 @@
 
 #[test]
 fn a_restart_reaches_a_peer_by_a_whole_picture_and_by_changes() {
-    let mut teller = Picture::default();
+    let mut teller = PublishedState::default();
     teller.take_whole(Millis(10), whole(1, vec![of_run(1, "a", 100)]));
-    let mut peer = Picture::default();
+    let mut peer = PublishedState::default();
     peer.take_whole(Millis(10), teller.whole());
     teller.take_changes(Millis(11), Revision(1), Revision(2), vec![of_run(2, "a", 200)]);
     let (beliefs, _) = peer.take_catch_up(Millis(12), teller.catch_up(peer.held()));
     assert_eq!(beliefs, [restarted(2, 100, 200)]);
     // One that took the former run's late words for the newest is set right by either way.
-    let mut misled = Picture::default();
+    let mut misled = PublishedState::default();
     misled.take_whole(Millis(10), whole(3, vec![of_run(3, "a", 100)]));
     misled.take_catch_up(Millis(12), teller.catch_up(misled.held().without_entries()));
     assert_eq!(misled.upstream(&id("a")).unwrap().value.run, start(200));
 }
 
 /// A picture that was read again after the source was away: what is removed now may come back.
-fn returned() -> (Picture, Millis) {
-    let mut picture = Picture::default();
+fn returned() -> (PublishedState, Millis) {
+    let mut picture = PublishedState::default();
     picture.take_whole(Millis(1_000), whole(5, vec![written(1, "a"), written(2, "b")]));
     let at_ms = Millis(1_001) + AWAY_MS;
     picture.confirm(at_ms, Revision(5));
@@ -143,7 +144,7 @@
         }
     };
     let cause = RemovalCause::Overwritten;
-    let gone = Belief::UpstreamGone { upstream: id("a"), revision: Revision(6), cause };
+    let gone = StateChange::UpstreamGone { upstream: id("a"), revision: Revision(6), cause };
     assert_eq!(beliefs, [gone]);
     assert!(picture.upstream(&id("a")).is_none());
     assert!(picture.upstream(&id("b")).is_some());
--- a/crates/published/tests/picture.rs
+++ b/crates/published/tests/state.rs
@@ -5,8 +5,8 @@
 
 use domain::{Millis, Version};
 use published::{
-    AWAY_MS, Belief, Change, Entry, Item, Picture, RETURN_GRACE_MS, RemovalCause, Revision,
-    Upstream, UpstreamMode,
+    AWAY_MS, Change, Entry, Item, PublishedState, RETURN_GRACE_MS, RemovalCause, Revision,
+    StateChange, Upstream, UpstreamMode,
 };
 use rstest::rstest;
 use std::sync::Arc;
@@ -14,19 +14,19 @@
 
 /// Applies changes one by one at one moment; returns who is left, in order.
 fn after(changes: Vec<Change>) -> Vec<String> {
-    let mut picture = Picture::default();
+    let mut picture = PublishedState::default();
     for change in changes {
         picture.take_changes(Millis(10), Revision(0), Revision(0), vec![change]);
     }
     names(&picture)
 }
 
-fn gone(revision: u64, name: &str) -> Belief {
+fn gone(revision: u64, name: &str) -> StateChange {
     let cause = RemovalCause::Deleted;
-    Belief::UpstreamGone { upstream: id(name), revision: Revision(revision), cause }
+    StateChange::UpstreamGone { upstream: id(name), revision: Revision(revision), cause }
 }
 
-fn names(picture: &Picture) -> Vec<String> {
+fn names(picture: &PublishedState) -> Vec<String> {
     let name = |entry: &Entry<Arc<Upstream>>| {
         let mode = if entry.value.mode == UpstreamMode::Ready { "" } else { "-" };
         format!("{mode}{}", entry.value.id)
@@ -55,7 +55,7 @@
 #[case::smaller_version_under_a_greater_revision(vec![routing(1, 10), routing(2, 9)], 10)]
 #[case::twice(vec![routing(1, 10), routing(1, 10)], 10)]
 fn routing_never_goes_back(#[case] changes: Vec<Change>, #[case] in_force: u64) {
-    let mut picture = Picture::default();
+    let mut picture = PublishedState::default();
     for change in changes {
         picture.take_changes(Millis(10), Revision(0), Revision(0), vec![change]);
     }
@@ -64,7 +64,7 @@
 
 #[test]
 fn missing_entries_of_a_whole_reading_are_gone() {
-    let mut picture = Picture::default();
+    let mut picture = PublishedState::default();
     picture.take_whole(Millis(10), whole(5, vec![written(1, "a"), written(2, "b")]));
     let beliefs = picture.take_whole(Millis(20), whole(9, vec![written(2, "b")]));
     assert_eq!(names(&picture), ["b"]);
@@ -73,7 +73,7 @@
 
 #[test]
 fn an_older_whole_reading_removes_nothing() {
-    let mut picture = Picture::default();
+    let mut picture = PublishedState::default();
     picture.take_whole(Millis(10), whole(9, vec![written(7, "a")]));
     picture.take_whole(Millis(20), whole(5, Vec::new()));
     assert_eq!(names(&picture), ["a"]);
@@ -81,7 +81,7 @@
 
 #[test]
 fn an_entry_newer_than_a_whole_reading_stays() {
-    let mut picture = Picture::default();
+    let mut picture = PublishedState::default();
     picture.take_whole(Millis(10), whole(5, vec![written(1, "a")]));
     picture.take_changes(Millis(11), Revision(5), Revision(5), vec![written(8, "b")]);
     picture.take_whole(Millis(20), whole(7, vec![written(1, "a")]));
@@ -89,8 +89,8 @@
 }
 
 /// A picture that was last confirmed at 1 s and read again after the source was away.
-fn returned(at_ms: Millis) -> Picture {
-    let mut picture = Picture::default();
+fn returned(at_ms: Millis) -> PublishedState {
+    let mut picture = PublishedState::default();
     picture.take_whole(Millis(1_000), whole(5, vec![written(1, "a"), draining(2, "b")]));
     picture.take_changes(at_ms, Revision(5), Revision(9), vec![removed(8, "a"), removed(9, "b")]);
     picture
@@ -115,7 +115,10 @@
     let mut picture = returned(at_ms);
     let (beliefs, _) =
         picture.take_changes(at_ms, Revision(9), Revision(10), vec![written(10, "a")]);
-    assert_eq!(beliefs, [Belief::UpstreamReturned { upstream: id("a"), revision: Revision(10) }]);
+    assert_eq!(
+        beliefs,
+        [StateChange::UpstreamReturned { upstream: id("a"), revision: Revision(10) }]
+    );
     assert!(picture.settle(at_ms + RETURN_GRACE_MS).is_empty());
     assert_eq!(names(&picture), ["a"]);
 }
@@ -128,7 +131,7 @@
 #[test]
 fn a_removal_long_after_the_return_is_final_at_once() {
     let at_ms = Millis(1_001) + AWAY_MS;
-    let mut picture = Picture::default();
+    let mut picture = PublishedState::default();
     picture.take_whole(Millis(1_000), whole(5, vec![written(1, "a")]));
     picture.confirm(at_ms, Revision(5));
     for step in 0..4 {
@@ -141,7 +144,7 @@
 
 #[test]
 fn a_gap_is_told_and_confirms_nothing() {
-    let mut picture = Picture::default();
+    let mut picture = PublishedState::default();
     picture.take_whole(Millis(10), whole(5, vec![written(1, "a")]));
     let (_, is_gapless) =
         picture.take_changes(Millis(500), Revision(7), Revision(9), vec![written(9, "b")]);
@@ -153,7 +156,7 @@
 
 #[test]
 fn a_confirmation_of_what_is_not_held_counts_nothing() {
-    let mut picture = Picture::default();
+    let mut picture = PublishedState::default();
     picture.take_whole(Millis(10), whole(5, Vec::new()));
     picture.confirm(Millis(500), Revision(6));
     assert_eq!(picture.confirmed_ms(), Some(Millis(10)));
@@ -165,10 +168,10 @@
 
 #[test]
 fn a_peer_that_takes_the_whole_holds_the_same() {
-    let mut picture = Picture::default();
+    let mut picture = PublishedState::default();
     let items = vec![routing(1, 3), written(2, "a"), draining(3, "b")];
     picture.take_whole(Millis(10), whole(5, items));
-    let mut peer = Picture::default();
+    let mut peer = PublishedState::default();
     assert_ne!(peer.digest(), picture.digest());
     peer.take_whole(Millis(20), picture.whole());
     assert_eq!(peer.digest(), picture.digest());
@@ -199,7 +202,7 @@
     Change::Written(Entry { revision: Revision(revision), value: Item::Routing(Arc::new(full)) })
 }
 
-fn routes(picture: &Picture) -> Vec<(String, u64)> {
+fn routes(picture: &PublishedState) -> Vec<(String, u64)> {
     let routes = &picture.routing().unwrap().value.routes;
     let mut routes: Vec<(String, u64)> =
         routes.iter().map(|route| (route.name.clone(), route.timeout_ms.0)).collect();
@@ -212,8 +215,8 @@
     let old = routing_with(1, vec![route("a", 100), route("b", 100), route("c", 100)]);
     let new = routing_with(2, vec![route("a", 100), route("b", 200), route("d", 100)]);
     let newest = routing_with(3, vec![route("a", 100), route("b", 300)]);
-    let mut reader = Picture::default();
-    let mut peer = Picture::default();
+    let mut reader = PublishedState::default();
+    let mut peer = PublishedState::default();
     for picture in [&mut reader, &mut peer] {
         picture.take_changes(Millis(1), Revision(0), Revision(1), vec![old.clone()]);
     }
@@ -232,10 +235,10 @@
 fn a_difference_from_a_routing_that_is_not_held_is_a_gap() {
     let old = routing_with(1, vec![route("a", 100)]);
     let new = routing_with(2, vec![route("b", 100)]);
-    let mut reader = Picture::default();
+    let mut reader = PublishedState::default();
     reader.take_changes(Millis(1), Revision(0), Revision(1), vec![old]);
     let told = reader.patched(&[new]);
-    let mut peer = Picture::default();
+    let mut peer = PublishedState::default();
     let (beliefs, is_gapless) = peer.take_changes(Millis(2), Revision(0), Revision(2), told);
     assert!(beliefs.is_empty());
     assert!(!is_gapless);
@@ -248,7 +251,7 @@
     second.prefix = "/other/".to_owned();
     let old = routing_with(1, vec![route("a", 100)]);
     let new = routing_with(2, vec![route("a", 100), second]);
-    let mut reader = Picture::default();
+    let mut reader = PublishedState::default();
     reader.take_changes(Millis(1), Revision(0), Revision(1), vec![old.clone()]);
     let told = reader.patched(&[new]);
     assert!(matches!(&told[..], [Change::Written(_)]), "{told:?}");
--- a/crates/published/tests/support/site.rs
+++ b/crates/published/tests/support/site.rs
@@ -6,8 +6,8 @@
 use super::{id, removed, routing, written};
 use domain::{Incarnation, Millis};
 use published::{
-    Capacity, Change, Effect, Entry, Fetch, FetchReply, Gossip, Item, Member, Message, Picture,
-    ReadStep, Reader, Revision, Snapshot, Start,
+    Capacity, Change, Effect, Entry, Fetch, FetchReply, Gossip, Item, Member, Message,
+    PublishedState, ReadStep, Reader, Revision, Snapshot, Start,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -243,7 +243,7 @@
     }
 
     /// Whether something holds of what each host that is up believes.
-    pub fn all_hold(&self, holds: impl Fn(&Picture) -> bool) -> bool {
+    pub fn all_hold(&self, holds: impl Fn(&PublishedState) -> bool) -> bool {
         self.hosts.iter().filter(|host| host.is_up).all(|host| holds(host.gossip.picture()))
     }
 
@@ -368,8 +368,8 @@
 
     fn received(&self, message: Message) -> Message {
         match message {
-            Message::News { news, .. } if self.broken == Broken::Relays => {
-                Message::News { news, passes_on: false }
+            Message::StateUpdate { news, .. } if self.broken == Broken::Relays => {
+                Message::StateUpdate { news, passes_on: false }
             }
             message => message,
         }
--- a/crates/published/tests/support/starting.rs
+++ b/crates/published/tests/support/starting.rs
@@ -534,7 +534,7 @@
         Message::Join { .. } | Message::Hello { .. } | Message::Unread { .. } => 64,
         Message::Bye { .. } => 32,
         Message::Known { members: known, .. } => members(known.len()),
-        Message::News { .. } => 96,
+        Message::StateUpdate { .. } => 96,
         Message::JoinReply(reply) => {
             let first = match &reply.bootstrap {
                 Bootstrap::NotYet { .. } | Bootstrap::Redirect { .. } => 0,
