--- a/crates/gateway/src/fleet_message.rs
+++ b/crates/gateway/src/fleet_message.rs
@@ -19,10 +19,10 @@
 /// Tells all hosts; the message differs for those that are to pass it on in their zone.
 pub fn tell_fleet(host: &Host, message: impl Fn(bool) -> Datagram) {
     let listeners = host.gossip.borrow_mut().listeners(host.now_ms());
-    for passes_on in [true, false] {
-        let told = listeners.iter().filter(|listener| listener.passes_on == passes_on);
+    for should_relay in [true, false] {
+        let told = listeners.iter().filter(|listener| listener.should_relay == should_relay);
         let to: Vec<SocketAddr> = told.map(|&Recipient { address, .. }| address).collect();
-        send(host, &message(passes_on), &to);
+        send(host, &message(should_relay), &to);
     }
 }
 
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -166,23 +166,25 @@
         match effect {
             Effect::Send { message, to } => self.send(&message, &to),
             Effect::Fetch(fetch) => self.fetch(fetch),
-            Effect::Believed { beliefs, from } => {
-                self.host.picture_changed(&beliefs, from.as_str());
+            Effect::StateUpdated { state_changes, from } => {
+                self.host.picture_changed(&state_changes, from.as_str());
             }
-            Effect::Fetched { from, revision, is_whole } => {
+            Effect::FetchEnded { from, revision, is_full } => {
                 let peer = from.as_str();
-                self.host.log.write(&LogEvent::Fetched { peer, revision, is_whole });
+                self.host.log.write(&LogEvent::Fetched { peer, revision, is_whole: is_full });
             }
-            Effect::PeersHeard(peers) => {
+            Effect::PeersDiscovered(peers) => {
                 peers.iter().for_each(|peer| self.host.placing.forget_silence(peer));
                 let (count, first) = (peers.len(), peers.first());
                 quarantine::note_peers(&self.host);
                 backpressure::note_peers(&self.host);
                 self.host.log.write(&LogEvent::PeersHeard { count, first, hosts });
             }
-            Effect::Announce { after_ms } => self.act_later(after_ms, Gossip::announce),
-            Effect::AnswerWaiting { after_ms } => self.act_later(after_ms, Gossip::answer_more),
-            Effect::PeerGone(peer) => {
+            Effect::AnnounceJoined { delay_ms } => self.act_later(delay_ms, Gossip::announce),
+            Effect::AnswerPendingJoins { delay_ms } => {
+                self.act_later(delay_ms, Gossip::answer_more)
+            }
+            Effect::PeerRemoved(peer) => {
                 self.host.log.write(&LogEvent::PeerGone { peer: &peer, hosts });
             }
         }
@@ -216,7 +218,7 @@
     fn fetch(self: &Rc<Peers>, fetch: Fetch) {
         let peers = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            clock::sleep(duration(fetch.after_ms)).await;
+            clock::sleep(duration(fetch.delay_ms)).await;
             let answer = fetch::fetch(&fetch).await;
             let now_ms = peers.host.now_ms();
             peers.act(|gossip| gossip.take_told(now_ms, fetch, answer));
@@ -235,9 +237,12 @@
 fn encode(message: &Message) -> Result<Vec<u8>, CodecError> {
     let whole = codec::encode(&Datagram::Gossip(message.clone()))?;
     match message {
-        Message::StateUpdate { news, passes_on } if whole.len() > MAX_DATAGRAM_BYTES => {
-            let news = Message::StateUpdate { news: news.without_changes(), passes_on: *passes_on };
-            codec::encode(&Datagram::Gossip(news))
+        Message::StateUpdate { update, should_relay } if whole.len() > MAX_DATAGRAM_BYTES => {
+            let update = Message::StateUpdate {
+                update: update.without_changes(),
+                should_relay: *should_relay,
+            };
+            codec::encode(&Datagram::Gossip(update))
         }
         Message::JoinReply(reply) if whole.len() > MAX_DATAGRAM_BYTES => {
             let reply = Message::JoinReply(Box::new(reply.without_items()));
--- a/crates/gateway/src/peers/fetch.rs
+++ b/crates/gateway/src/peers/fetch.rs
@@ -41,7 +41,7 @@
     let until = Moment::now() + ASKING_LIMIT;
     while Moment::now() < until {
         for &address in &fetch.from {
-            if let Ok(Ok(told)) = timeout(FETCH_LIMIT, ask(address, fetch.question)).await {
+            if let Ok(Ok(told)) = timeout(FETCH_LIMIT, ask(address, fetch.request)).await {
                 return Some((address, told));
             }
         }
@@ -50,11 +50,11 @@
     None
 }
 
-async fn ask(address: SocketAddr, question: FetchRequest) -> std::io::Result<FetchReply> {
+async fn ask(address: SocketAddr, request: FetchRequest) -> std::io::Result<FetchReply> {
     let connecting = TcpSocket::new_v4()?.connect(address);
     let mut stream = timeout(CONNECT_LIMIT, connecting).await??;
-    let question = codec::encode(&question).map_err(std::io::Error::other)?;
-    stream.write_all(&question).await?;
+    let request = codec::encode(&request).map_err(std::io::Error::other)?;
+    stream.write_all(&request).await?;
     stream.shutdown().await?;
     let mut bytes = Vec::new();
     stream.take(MAX_TOLD_BYTES).read_to_end(&mut bytes).await?;
@@ -63,10 +63,10 @@
 
 /// Tells a peer what it lacks.
 pub(super) async fn give(host: &Host, mut stream: TcpStream) -> std::io::Result<()> {
-    let mut question = Vec::new();
-    (&mut stream).take(MAX_ASKED_BYTES).read_to_end(&mut question).await?;
-    let question: FetchRequest = codec::decode(&question).map_err(std::io::Error::other)?;
-    let told = host.gossip.borrow().tell(host.now_ms(), question);
+    let mut request = Vec::new();
+    (&mut stream).take(MAX_ASKED_BYTES).read_to_end(&mut request).await?;
+    let request: FetchRequest = codec::decode(&request).map_err(std::io::Error::other)?;
+    let told = host.gossip.borrow().tell(host.now_ms(), request);
     // A host that can't help closes the connection, and another is asked.
     let Some(told) = told else { return Ok(()) };
     let bytes = codec::encode(&told).map_err(std::io::Error::other)?;
--- a/crates/gateway/src/reading.rs
+++ b/crates/gateway/src/reading.rs
@@ -65,8 +65,8 @@
             match step {
                 ReadStep::Wait(until_ms) => self.wait_until(until_ms).await,
                 ReadStep::Sample => self.read_sample().await,
-                ReadStep::First => self.read_first().await,
-                ReadStep::Whole => self.read_whole().await,
+                ReadStep::FirstPage => self.read_first().await,
+                ReadStep::Snapshot => self.read_whole().await,
                 ReadStep::Changes(wait_ms) => self.read_changes(wait_ms).await,
             }
             self.host.source_calls.set(self.source.calls());
--- a/crates/gateway/tests/codec.rs
+++ b/crates/gateway/tests/codec.rs
@@ -16,7 +16,7 @@
         address: "127.0.0.1:7000".parse().unwrap(),
         capacity: Capacity::default(),
     };
-    Message::Hello { from, greeting: HelloKind::Request, digest: 99 }
+    Message::Hello { from, kind: HelloKind::Request, members_digest: 99 }
 }
 
 #[test]
--- a/crates/gateway/tests/datagram_bytes.rs
+++ b/crates/gateway/tests/datagram_bytes.rs
@@ -178,17 +178,17 @@
     EvacuationEnd { zone: "janakpur".parse().unwrap(), revision: Revision(4_009) }
 }
 
-fn bootstrap_snapshot(is_whole: bool) -> BootstrapSnapshot {
+fn bootstrap_snapshot(is_complete: bool) -> BootstrapSnapshot {
     BootstrapSnapshot {
         age_ms: Millis(35),
         revision: Revision(4_010),
         items: vec![upstream_entry(4_002, ready_upstream()), evacuation_entry()],
-        is_whole,
+        is_complete,
     }
 }
 
 fn join_reply(bootstrap: Bootstrap) -> Message {
-    Message::JoinReply(Box::new(JoinReply { from: member_1(), hosts: 124, bootstrap }))
+    Message::JoinReply(Box::new(JoinReply { from: member_1(), host_count: 124, bootstrap }))
 }
 
 fn partial() -> Bootstrap {
@@ -199,12 +199,12 @@
     }
 }
 
-fn hello(greeting: HelloKind) -> Message {
-    Message::Hello { from: member_1(), greeting, digest: u64::MAX - 1 }
+fn hello(kind: HelloKind) -> Message {
+    Message::Hello { from: member_1(), kind, members_digest: u64::MAX - 1 }
 }
 
 fn news(changes: Option<Vec<Change>>) -> Message {
-    let news = StateUpdate {
+    let update = StateUpdate {
         reader: member_1(),
         revision: Revision(4_020),
         age_ms: Millis(25),
@@ -212,7 +212,7 @@
         after: Revision(4_000),
         changes,
     };
-    Message::StateUpdate { news, passes_on: true }
+    Message::StateUpdate { update, should_relay: true }
 }
 
 #[rstest]
@@ -226,7 +226,7 @@
      2d01"
 )]
 #[case::not_yet(
-    join_reply(Bootstrap::NotYet { is_reading: true }),
+    join_reply(Bootstrap::NotReady { is_reading: true }),
     "0600010766726f6e742d31e907086b617269616b6f6f000a000001d9361482017c0001"
 )]
 #[case::redirect(
@@ -234,7 +234,7 @@
     "0600010766726f6e742d31e907086b617269616b6f6f000a000001d9361482017c01000a000007df36"
 )]
 #[case::whole(
-    join_reply(Bootstrap::Whole(bootstrap_snapshot(true))),
+    join_reply(Bootstrap::Complete(bootstrap_snapshot(true))),
     "0600010766726f6e742d31e907086b617269616b6f6f000a000001d9361482017c0223aa1f02a21f0103692d31\
      057061727473000a000101c13e08636861626168696c0600dc0b0181d095ffbc31a41f02076974616861726901"
 )]
@@ -257,16 +257,16 @@
     "0600020766726f6e742d31e907086b617269616b6f6f000a000001d93614820102feffffffffffffffff01"
 )]
 #[case::known(
-    Message::Known { members: vec![member_1(), member_2()], passes_on: true },
+    Message::Members { members: vec![member_1(), member_2()], should_relay: true },
     "060003020766726f6e742d31e907086b617269616b6f6f000a000001d9361482010766726f6e742d32c29a0c09\
      62616e657368776f720120010db8000000000000000000000002da36e8072d01"
 )]
 #[case::unread(
-    Message::Unread { reader: member_1(), passes_on: true },
+    Message::ReadFailed { reader: member_1(), should_relay: true },
     "0600050766726f6e742d31e907086b617269616b6f6f000a000001d93614820101"
 )]
 #[case::bye(
-    Message::Bye { host: "front-3".parse().unwrap(), incarnation: Incarnation(1_003) },
+    Message::Leave { host: "front-3".parse().unwrap(), incarnation: Incarnation(1_003) },
     "0600060766726f6e742d33eb07"
 )]
 #[case::offered_news(
@@ -324,19 +324,19 @@
     check(&Datagram::Gossip(message), hex);
 }
 
-fn question(routing: Option<Revision>) -> FetchRequest {
+fn fetch_request(routing: Option<Revision>) -> FetchRequest {
     FetchRequest {
-        held: KnownRevisions { revision: Revision(4_011), routing },
-        wanted: Revision(4_013),
-        members: 9_876_543_211,
+        known: KnownRevisions { revision: Revision(4_011), routing },
+        min_revision: Revision(4_013),
+        members_digest: 9_876_543_211,
     }
 }
 
 #[rstest]
-#[case::with_routing(question(Some(Revision(4_012))), "06ab1f01ac1fad1febadc0e524")]
-#[case::without_routing(question(None), "06ab1f00ad1febadc0e524")]
-fn a_question_keeps_its_bytes(#[case] question: FetchRequest, #[case] hex: &str) {
-    check(&question, hex);
+#[case::with_routing(fetch_request(Some(Revision(4_012))), "06ab1f01ac1fad1febadc0e524")]
+#[case::without_routing(fetch_request(None), "06ab1f00ad1febadc0e524")]
+fn a_fetch_request_keeps_its_bytes(#[case] request: FetchRequest, #[case] hex: &str) {
+    check(&request, hex);
 }
 
 fn changes() -> CatchUp {
@@ -348,7 +348,7 @@
 }
 
 fn whole() -> CatchUp {
-    CatchUp::Whole(Snapshot {
+    CatchUp::Snapshot(Snapshot {
         revision: Revision(4_016),
         items: vec![routing_entry(), evacuation_entry()],
         overwritten: vec![overwritten()],
--- a/crates/gateway/tests/scheduling.rs
+++ b/crates/gateway/tests/scheduling.rs
@@ -102,7 +102,8 @@
 
 fn introduce(gateway: &Gateway, from: Member) {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let hello = Datagram::Gossip(Message::Hello { from, greeting: HelloKind::Alive, digest: 0 });
+    let hello =
+        Datagram::Gossip(Message::Hello { from, kind: HelloKind::Alive, members_digest: 0 });
     let peers = gateway.host().settings.borrow().peers;
     socket.send_to(&encode(&hello).unwrap(), peers).unwrap();
 }
--- a/crates/published/src/gossip.rs
+++ b/crates/published/src/gossip.rs
@@ -97,10 +97,10 @@
     /// Takes a whole reading of its own, and tells the fleet.
     pub fn take_whole(&mut self, now_ms: Millis, whole: Snapshot) -> Vec<Effect> {
         let before = self.picture.revision();
-        let beliefs = self.picture.take_whole(now_ms, whole);
+        let state_changes = self.picture.take_whole(now_ms, whole);
         // Told without the changes, peers that hold less find a gap and fetch.
-        let after = if beliefs.is_empty() { before } else { self.picture.revision() };
-        let mut effects = vec![Effect::Believed { beliefs, from: Origin::Source }];
+        let after = if state_changes.is_empty() { before } else { self.picture.revision() };
+        let mut effects = vec![Effect::StateUpdated { state_changes, from: Origin::Source }];
         self.set_reading(false);
         self.answer_waiting(now_ms, &mut effects);
         self.tell_news(now_ms, after, Vec::new(), &mut effects);
@@ -116,8 +116,8 @@
         changes: &[Change],
     ) -> Vec<Effect> {
         let told = self.picture.patched(changes);
-        let (beliefs, _) = self.picture.take_changes(now_ms, after, revision, told.clone());
-        let mut effects = vec![Effect::Believed { beliefs, from: Origin::Source }];
+        let (state_changes, _) = self.picture.take_changes(now_ms, after, revision, told.clone());
+        let mut effects = vec![Effect::StateUpdated { state_changes, from: Origin::Source }];
         self.tell_news(now_ms, after, told, &mut effects);
         effects
     }
@@ -127,7 +127,7 @@
         let reader = self.members.own().clone();
         let mut effects = Vec::new();
         self.set_reading(false);
-        let unread = |passes_on| Message::Unread { reader: reader.clone(), passes_on };
+        let unread = |should_relay| Message::ReadFailed { reader: reader.clone(), should_relay };
         self.tell_fleet(now_ms, unread, &mut effects);
         effects
     }
@@ -150,7 +150,7 @@
     /// Tells all hosts that this one leaves; nothing is said after that.
     pub fn leave(&mut self) -> Vec<Effect> {
         let own = self.members.own();
-        let bye = Message::Bye { host: own.host.clone(), incarnation: own.incarnation };
+        let bye = Message::Leave { host: own.host.clone(), incarnation: own.incarnation };
         let to = self.members.others().map(|member| member.address).collect();
         let mut effects = Vec::new();
         self.send(bye, to, &mut effects);
@@ -161,11 +161,11 @@
     /// Drops what time has settled: lapsed entries, and hosts that were silent for long.
     pub fn settle(&mut self, now_ms: Millis) -> Vec<Effect> {
         let mut effects = Vec::new();
-        let beliefs = self.picture.settle(now_ms);
-        if !beliefs.is_empty() {
-            effects.push(Effect::Believed { beliefs, from: Origin::Time });
+        let state_changes = self.picture.settle(now_ms);
+        if !state_changes.is_empty() {
+            effects.push(Effect::StateUpdated { state_changes, from: Origin::Expiry });
         }
-        effects.extend(self.members.forget(now_ms).into_iter().map(Effect::PeerGone));
+        effects.extend(self.members.forget(now_ms).into_iter().map(Effect::PeerRemoved));
         if self.picture.is_partial() {
             self.fetch_from_any(now_ms, &mut effects);
         }
@@ -180,21 +180,21 @@
                 self.take_join(now_ms, from, is_redirected, &mut effects);
             }
             Message::JoinReply(reply) => self.take_join_reply(now_ms, *reply, &mut effects),
-            Message::Hello { from, greeting, digest } => {
-                self.take_hello(now_ms, from, (greeting, digest), sender, &mut effects);
+            Message::Hello { from, kind, members_digest } => {
+                self.take_hello(now_ms, from, (kind, members_digest), sender, &mut effects);
             }
-            Message::Known { members, passes_on } => {
-                self.take_known(now_ms, members, passes_on, sender, &mut effects);
+            Message::Members { members, should_relay } => {
+                self.take_known(now_ms, members, should_relay, sender, &mut effects);
             }
-            Message::StateUpdate { news, passes_on } => {
-                self.take_news(now_ms, news, passes_on, sender, &mut effects);
+            Message::StateUpdate { update, should_relay } => {
+                self.take_news(now_ms, update, should_relay, sender, &mut effects);
             }
-            Message::Unread { reader, passes_on } => {
-                self.take_unread(now_ms, reader, passes_on, sender, &mut effects);
+            Message::ReadFailed { reader, should_relay } => {
+                self.take_unread(now_ms, reader, should_relay, sender, &mut effects);
             }
-            Message::Bye { host, incarnation } => {
+            Message::Leave { host, incarnation } => {
                 if self.members.leave(now_ms, &host, incarnation) {
-                    effects.push(Effect::PeerGone(host));
+                    effects.push(Effect::PeerRemoved(host));
                 }
             }
         }
@@ -202,13 +202,13 @@
     }
 
     /// What a peer lacks; none before this host holds what is wanted.
-    pub fn tell(&self, now_ms: Millis, question: FetchRequest) -> Option<FetchReply> {
+    pub fn tell(&self, now_ms: Millis, request: FetchRequest) -> Option<FetchReply> {
         let age_ms = self.picture.age_ms(now_ms)?;
-        let is_help = self.picture.revision() >= question.wanted;
-        let knows_more = question.members != self.members.digest();
+        let is_help = self.picture.revision() >= request.min_revision;
+        let knows_more = request.members_digest != self.members.digest();
         is_help.then(|| FetchReply {
             age_ms,
-            catch_up: self.picture.catch_up(question.held),
+            catch_up: self.picture.catch_up(request.known),
             members: if knows_more { self.members.all() } else { Vec::new() },
         })
     }
@@ -227,12 +227,12 @@
             None => {
                 let asked = fetch.from.last().and_then(|&address| self.members.host_at(address));
                 let from = Origin::of(asked);
-                effects.push(Effect::Fetched { from, revision: None, is_whole: false });
+                effects.push(Effect::FetchEnded { from, revision: None, is_full: false });
             }
         }
-        if let Some(news) = fetch.passed_on {
-            let age_ms = news.age_ms + now_ms.since(fetch.begun_ms);
-            self.pass_on_news(StateUpdate { age_ms, ..news }, &mut effects);
+        if let Some(update) = fetch.pending_update {
+            let age_ms = update.age_ms + now_ms.since(fetch.begun_ms);
+            self.pass_on_news(StateUpdate { age_ms, ..update }, &mut effects);
         }
         effects
     }
--- a/crates/published/src/gossip/effect.rs
+++ b/crates/published/src/gossip/effect.rs
@@ -19,35 +19,35 @@
     /// Ask for what is missing, then hand it to [`Gossip::take_told`].
     Fetch(Fetch),
     /// Something else is believed, or the same was confirmed.
-    Believed {
+    StateUpdated {
         /// What changed; nothing if it was confirmed.
-        beliefs: Vec<StateChange>,
+        state_changes: Vec<StateChange>,
         /// Where it comes from.
         from: Origin,
     },
     /// What a fetch came to.
-    Fetched {
+    FetchEnded {
         /// Whom it was asked of.
         from: Origin,
         /// What it told; none if it did not answer.
         revision: Option<Revision>,
         /// Whether all entries were told, or only what changed.
-        is_whole: bool,
+        is_full: bool,
     },
     /// Hosts were heard of for the first time, or in a new run.
-    PeersHeard(Vec<HostId>),
+    PeersDiscovered(Vec<HostId>),
     /// Have more hosts answered that join, by [`Gossip::answer_more`], after this time.
-    AnswerWaiting {
+    AnswerPendingJoins {
         /// The time.
-        after_ms: Millis,
+        delay_ms: Millis,
     },
     /// Have those logged and announced that joined, by [`Gossip::announce`], after this time.
-    Announce {
+    AnnounceJoined {
         /// The time.
-        after_ms: Millis,
+        delay_ms: Millis,
     },
     /// A host left or was silent for long.
-    PeerGone(HostId),
+    PeerRemoved(HostId),
 }
 
 /// Where a change of belief comes from.
@@ -58,9 +58,9 @@
     /// A peer told it.
     Peer(HostId),
     /// A host that is not known told it.
-    Stranger,
+    UnknownPeer,
     /// Time has passed.
-    Time,
+    Expiry,
 }
 
 impl Origin {
@@ -69,13 +69,13 @@
         match self {
             Origin::Source => "source",
             Origin::Peer(host) => host.as_str(),
-            Origin::Stranger => "unknown",
-            Origin::Time => "time",
+            Origin::UnknownPeer => "unknown",
+            Origin::Expiry => "time",
         }
     }
 
     pub(super) fn of(host: Option<&HostId>) -> Origin {
-        host.cloned().map_or(Origin::Stranger, Origin::Peer)
+        host.cloned().map_or(Origin::UnknownPeer, Origin::Peer)
     }
 }
 
@@ -85,23 +85,23 @@
     /// Whom to ask, one after the other until one answers.
     pub from: Vec<SocketAddr>,
     /// What is asked.
-    pub question: FetchRequest,
+    pub request: FetchRequest,
     /// When to begin: whom to ask is being told itself.
-    pub after_ms: Millis,
+    pub delay_ms: Millis,
     pub(super) begun_ms: Millis,
     /// What is to be passed on once nothing is missing.
-    pub(super) passed_on: Option<StateUpdate>,
+    pub(super) pending_update: Option<StateUpdate>,
 }
 
 /// What a host asks that misses something.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FetchRequest {
     /// What it holds.
-    pub held: KnownRevisions,
+    pub known: KnownRevisions,
     /// Who holds less than this is no help.
-    pub wanted: Revision,
+    pub min_revision: Revision,
     /// Digest of the hosts that it knows.
-    pub members: u64,
+    pub members_digest: u64,
 }
 
 /// The answer to a [`Fetch`].
--- a/crates/published/src/gossip/joining.rs
+++ b/crates/published/src/gossip/joining.rs
@@ -35,7 +35,7 @@
     /// Who answers.
     pub from: Member,
     /// Hosts that it knows.
-    pub hosts: u32,
+    pub host_count: u32,
     /// What it tells of the picture.
     pub bootstrap: Bootstrap,
 }
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Bootstrap {
     /// Nothing yet.
-    NotYet {
+    NotReady {
         /// Whether the source is being read there.
         is_reading: bool,
     },
@@ -54,7 +54,7 @@
         to: SocketAddr,
     },
     /// All of it.
-    Whole(BootstrapSnapshot),
+    Complete(BootstrapSnapshot),
     /// What to begin with, and where the rest is to be had.
     Partial {
         /// What to begin with.
@@ -71,8 +71,8 @@
     pub fn without_items(&self) -> JoinReply {
         let own = self.from.address;
         let bootstrap = match &self.bootstrap {
-            Bootstrap::NotYet { .. } | Bootstrap::Redirect { .. } => self.bootstrap.clone(),
-            Bootstrap::Whole(snapshot) => Bootstrap::Partial {
+            Bootstrap::NotReady { .. } | Bootstrap::Redirect { .. } => self.bootstrap.clone(),
+            Bootstrap::Complete(snapshot) => Bootstrap::Partial {
                 snapshot: snapshot.without_items(),
                 rest_from: vec![own],
                 after_ms: Millis::ZERO,
@@ -113,8 +113,8 @@
 
     /// Takes the beginning of a whole reading of its own: enough to serve, and to help others to.
     pub fn take_page(&mut self, now_ms: Millis, items: Vec<Entry<Item>>) -> Vec<Effect> {
-        let beliefs = self.picture.take_items(items);
-        let mut effects = vec![Effect::Believed { beliefs, from: Origin::Source }];
+        let state_changes = self.picture.take_items(items);
+        let mut effects = vec![Effect::StateUpdated { state_changes, from: Origin::Source }];
         if self.picture.is_partial() {
             self.answer_waiting(now_ms, &mut effects);
         }
@@ -127,23 +127,23 @@
         reply: JoinReply,
         effects: &mut Vec<Effect>,
     ) {
-        let JoinReply { from, hosts, bootstrap } = reply;
+        let JoinReply { from, host_count, bootstrap } = reply;
         let teller = from.host.clone();
         self.note(now_ms, from, effects);
         self.members.note_answer(&teller);
-        self.members.note_fleet(now_ms, hosts);
+        self.members.note_fleet(now_ms, host_count);
         if self.picture.confirmed_ms().is_some() {
             return;
         }
         match bootstrap {
-            Bootstrap::NotYet { is_reading: true } => self.promise(now_ms, READING_MS),
-            Bootstrap::NotYet { is_reading: false } => self.promise(now_ms, NOT_READING_MS),
+            Bootstrap::NotReady { is_reading: true } => self.promise(now_ms, READING_MS),
+            Bootstrap::NotReady { is_reading: false } => self.promise(now_ms, NOT_READING_MS),
             Bootstrap::Redirect { to } => {
                 self.promise(now_ms, READING_MS);
                 let from = self.members.own().clone();
                 self.send(Message::Join { from, is_redirected: true }, vec![to], effects);
             }
-            Bootstrap::Whole(snapshot) => self.take_bootstrap(now_ms, teller, snapshot, effects),
+            Bootstrap::Complete(snapshot) => self.take_bootstrap(now_ms, teller, snapshot, effects),
             // Two that read and tell each other what they have so far must not both wait.
             Bootstrap::Partial { snapshot, .. } if self.joins.is_reading() => {
                 self.take_bootstrap(now_ms, teller, snapshot, effects);
@@ -171,8 +171,8 @@
         snapshot: BootstrapSnapshot,
         effects: &mut Vec<Effect>,
     ) {
-        let beliefs = self.picture.take_bootstrap(now_ms - snapshot.age_ms, snapshot);
-        effects.push(Effect::Believed { beliefs, from: Origin::Peer(teller) });
+        let state_changes = self.picture.take_bootstrap(now_ms - snapshot.age_ms, snapshot);
+        effects.push(Effect::StateUpdated { state_changes, from: Origin::Peer(teller) });
         if self.picture.can_bootstrap() {
             self.answer_waiting(now_ms, effects);
         }
@@ -189,16 +189,16 @@
     fn fetch_rest(
         &mut self,
         now_ms: Millis,
-        wanted: Revision,
-        (from, after_ms): (Vec<SocketAddr>, Millis),
+        min_revision: Revision,
+        (from, delay_ms): (Vec<SocketAddr>, Millis),
         effects: &mut Vec<Effect>,
     ) {
         if self.is_fetching {
             return;
         }
-        let (held, members) = (self.picture.held(), self.members.digest());
-        let question = FetchRequest { held, wanted, members };
-        let fetch = Fetch { from, question, after_ms, begun_ms: now_ms, passed_on: None };
+        let (known, members_digest) = (self.picture.held(), self.members.digest());
+        let request = FetchRequest { known, min_revision, members_digest };
+        let fetch = Fetch { from, request, delay_ms, begun_ms: now_ms, pending_update: None };
         self.begin_fetch(now_ms, fetch, effects);
     }
 }
--- a/crates/published/src/gossip/joining/answering.rs
+++ b/crates/published/src/gossip/joining/answering.rs
@@ -146,10 +146,10 @@
     /// Tells the fleet of those that joined through this host.
     pub fn announce(&mut self, now_ms: Millis) -> Vec<Effect> {
         let heard = std::mem::take(&mut self.joins.heard);
-        let mut effects = vec![Effect::PeersHeard(heard)];
+        let mut effects = vec![Effect::PeersDiscovered(heard)];
         let members = std::mem::take(&mut self.joins.unannounced);
         if (1..=MOST_ANNOUNCED).contains(&members.len()) {
-            let known = |passes_on| Message::Known { members: members.clone(), passes_on };
+            let known = |should_relay| Message::Members { members: members.clone(), should_relay };
             self.tell_fleet(now_ms, known, &mut effects);
         }
         effects
@@ -164,7 +164,7 @@
     ) {
         if self.members.note(now_ms, member.clone()) {
             if self.joins.heard.is_empty() {
-                effects.push(Effect::Announce { after_ms: ANNOUNCE_AFTER_MS });
+                effects.push(Effect::AnnounceJoined { delay_ms: ANNOUNCE_AFTER_MS });
             }
             self.joins.heard.push(member.host.clone());
             // Those that are sent here came in hundreds; see [`MOST_ANNOUNCED`].
@@ -180,7 +180,7 @@
         }
         self.joins.waiting.insert(member.host.clone(), Waiting { member, is_redirected });
         if !can_answer {
-            self.send_join_reply(Bootstrap::NotYet { is_reading }, to, effects);
+            self.send_join_reply(Bootstrap::NotReady { is_reading }, to, effects);
         }
     }
 
@@ -206,7 +206,7 @@
         }
         if !self.joins.waiting.is_empty() {
             self.joins.is_answering = true;
-            effects.push(Effect::AnswerWaiting { after_ms: ANSWER_PAUSE_MS });
+            effects.push(Effect::AnswerPendingJoins { delay_ms: ANSWER_PAUSE_MS });
         }
     }
 
@@ -240,8 +240,8 @@
         let (host, zone) = (&member.host, &member.availability_zone);
         let snapshot = self.picture.bootstrap_for(now_ms, host, zone);
         let Some(snapshot) = snapshot else { return ByteCount(0) };
-        let bootstrap = match snapshot.is_whole {
-            true => Bootstrap::Whole(snapshot),
+        let bootstrap = match snapshot.is_complete {
+            true => Bootstrap::Complete(snapshot),
             false => {
                 let (rest_from, after_ms) = self.rest_for(number, zone);
                 Bootstrap::Partial { snapshot, rest_from, after_ms }
@@ -269,8 +269,8 @@
     }
 
     fn send_join_reply(&self, bootstrap: Bootstrap, to: SocketAddr, effects: &mut Vec<Effect>) {
-        let (from, hosts) = (self.members.own().clone(), self.members.count());
-        let reply = JoinReply { from, hosts, bootstrap };
+        let (from, host_count) = (self.members.own().clone(), self.members.count());
+        let reply = JoinReply { from, host_count, bootstrap };
         self.send(Message::JoinReply(Box::new(reply)), vec![to], effects);
     }
 }
--- a/crates/published/src/gossip/message.rs
+++ b/crates/published/src/gossip/message.rs
@@ -22,33 +22,33 @@
         /// Itself.
         from: Member,
         /// What it wants.
-        greeting: HelloKind,
+        kind: HelloKind,
         /// Digest of the hosts that it knows; equal sets need not be told.
-        digest: u64,
+        members_digest: u64,
     },
     /// Hosts that are known.
-    Known {
+    Members {
         /// Some of them.
         members: Vec<Member>,
         /// Whether the host that hears it is to pass it on in its availability zone.
-        passes_on: bool,
+        should_relay: bool,
     },
     /// What a host read.
     StateUpdate {
         /// What it read.
-        news: StateUpdate,
+        update: StateUpdate,
         /// Whether the host that hears it is to pass it on in its availability zone.
-        passes_on: bool,
+        should_relay: bool,
     },
     /// A host could not read: others need not try at once.
-    Unread {
+    ReadFailed {
         /// Which.
         reader: Member,
         /// Whether the host that hears it is to pass it on in its availability zone.
-        passes_on: bool,
+        should_relay: bool,
     },
     /// A host leaves.
-    Bye {
+    Leave {
         /// Its id.
         host: HostId,
         /// The run that ends.
--- a/crates/published/src/gossip/receiving.rs
+++ b/crates/published/src/gossip/receiving.rs
@@ -28,11 +28,11 @@
     ) {
         let from = Origin::of(self.members.host_at(teller));
         let revision = Some(told.catch_up.revision());
-        let is_whole = matches!(told.catch_up, CatchUp::Whole(_));
-        effects.push(Effect::Fetched { from: from.clone(), revision, is_whole });
+        let is_full = matches!(told.catch_up, CatchUp::Snapshot(_));
+        effects.push(Effect::FetchEnded { from: from.clone(), revision, is_full });
         // What is missing still shows at the next news.
-        let (beliefs, _) = self.picture.take_catch_up(now_ms - told.age_ms, told.catch_up);
-        effects.push(Effect::Believed { beliefs, from });
+        let (state_changes, _) = self.picture.take_catch_up(now_ms - told.age_ms, told.catch_up);
+        effects.push(Effect::StateUpdated { state_changes, from });
         self.note_all(now_ms, told.members, effects);
         if self.picture.confirmed_ms().is_some() {
             self.answer_waiting(now_ms, effects);
@@ -43,15 +43,15 @@
         &mut self,
         now_ms: Millis,
         from: Member,
-        (greeting, digest): (HelloKind, u64),
+        (kind, members_digest): (HelloKind, u64),
         sender: SocketAddr,
         effects: &mut Vec<Effect>,
     ) {
         let host = from.host.clone();
         self.note(now_ms, from, effects);
         self.members.note_answer(&host);
-        let knows_others = digest != self.members.digest();
-        match greeting {
+        let knows_others = members_digest != self.members.digest();
+        match kind {
             HelloKind::Request if knows_others => {
                 self.tell_members(sender, effects);
                 self.send(self.hello(HelloKind::Reply), vec![sender], effects);
@@ -66,53 +66,57 @@
         &mut self,
         now_ms: Millis,
         members: Vec<Member>,
-        passes_on: bool,
+        should_relay: bool,
         teller: SocketAddr,
         effects: &mut Vec<Effect>,
     ) {
         self.joins.note_announced(&members);
         self.note_all(now_ms, members.clone(), effects);
-        if passes_on {
+        if should_relay {
             self.send(self.hello(HelloKind::Alive), vec![teller], effects);
-            self.pass_on(Message::Known { members, passes_on: false }, effects);
+            self.pass_on(Message::Members { members, should_relay: false }, effects);
         }
     }
 
     pub(super) fn take_news(
         &mut self,
         now_ms: Millis,
-        news: StateUpdate,
-        passes_on: bool,
+        update: StateUpdate,
+        should_relay: bool,
         teller: SocketAddr,
         effects: &mut Vec<Effect>,
     ) {
-        self.note(now_ms, news.reader.clone(), effects);
+        self.note(now_ms, update.reader.clone(), effects);
         self.promise(now_ms, OFFER_MS);
         // Only a host that reads tells changes, even none; one that offers tells none.
-        if news.changes.is_some() {
-            self.members.note_reader(now_ms, &news.reader.host);
+        if update.changes.is_some() {
+            self.members.note_reader(now_ms, &update.reader.host);
         }
-        if passes_on {
+        if should_relay {
             self.send(self.hello(HelloKind::Alive), vec![teller], effects);
         }
-        let is_gapless = self.take_told_changes(now_ms, &news, effects);
+        let is_gapless = self.take_told_changes(now_ms, &update, effects);
         let differs =
-            self.picture.revision() == news.revision && self.picture.digest() != news.digest;
-        let held = self.picture.held();
-        let (wanted, members) = (news.revision, self.members.digest());
+            self.picture.revision() == update.revision && self.picture.digest() != update.digest;
+        let known = self.picture.held();
+        let (min_revision, members_digest) = (update.revision, self.members.digest());
         match is_gapless {
             false => {
-                let passed_on = Some(news).filter(|_| passes_on);
-                let question = FetchRequest { held, wanted, members };
-                self.fetch(now_ms, teller, question, passed_on, effects);
+                let pending_update = Some(update).filter(|_| should_relay);
+                let request = FetchRequest { known, min_revision, members_digest };
+                self.fetch(now_ms, teller, request, pending_update, effects);
             }
             true => {
                 if differs {
-                    let question = FetchRequest { held: held.without_entries(), wanted, members };
-                    self.fetch(now_ms, teller, question, None, effects);
+                    let request = FetchRequest {
+                        known: known.without_entries(),
+                        min_revision,
+                        members_digest,
+                    };
+                    self.fetch(now_ms, teller, request, None, effects);
                 }
-                if passes_on {
-                    self.pass_on_news(news, effects);
+                if should_relay {
+                    self.pass_on_news(update, effects);
                 }
             }
         }
@@ -122,16 +126,20 @@
     fn take_told_changes(
         &mut self,
         now_ms: Millis,
-        news: &StateUpdate,
+        update: &StateUpdate,
         effects: &mut Vec<Effect>,
     ) -> bool {
-        let at_ms = now_ms - news.age_ms;
-        let changes = news.changes.clone().unwrap_or_default();
+        let at_ms = now_ms - update.age_ms;
+        let changes = update.changes.clone().unwrap_or_default();
         let held = self.picture.revision();
-        let is_complete = news.after <= held && news.after <= news.revision;
-        let revision = if is_complete { news.revision } else { held };
-        let (beliefs, is_gapless) = self.picture.take_changes(at_ms, news.after, revision, changes);
-        effects.push(Effect::Believed { beliefs, from: Origin::Peer(news.reader.host.clone()) });
+        let is_complete = update.after <= held && update.after <= update.revision;
+        let revision = if is_complete { update.revision } else { held };
+        let (state_changes, is_gapless) =
+            self.picture.take_changes(at_ms, update.after, revision, changes);
+        effects.push(Effect::StateUpdated {
+            state_changes,
+            from: Origin::Peer(update.reader.host.clone()),
+        });
         is_gapless && is_complete
     }
 
@@ -139,15 +147,15 @@
         &mut self,
         now_ms: Millis,
         reader: Member,
-        passes_on: bool,
+        should_relay: bool,
         teller: SocketAddr,
         effects: &mut Vec<Effect>,
     ) {
         self.note(now_ms, reader.clone(), effects);
         self.members.note_failed_reader(now_ms, &reader.host);
-        if passes_on {
+        if should_relay {
             self.send(self.hello(HelloKind::Alive), vec![teller], effects);
-            self.pass_on(Message::Unread { reader, passes_on: false }, effects);
+            self.pass_on(Message::ReadFailed { reader, should_relay: false }, effects);
         }
     }
 
@@ -156,19 +164,19 @@
         &mut self,
         now_ms: Millis,
         teller: SocketAddr,
-        question: FetchRequest,
-        passed_on: Option<StateUpdate>,
+        request: FetchRequest,
+        pending_update: Option<StateUpdate>,
         effects: &mut Vec<Effect>,
     ) {
         let is_early = self.fetched_ms.is_some_and(|at_ms| now_ms.since(at_ms) < FETCH_PAUSE_MS)
             && self.picture.confirmed_ms().is_some();
         if is_early || self.is_fetching {
-            passed_on.into_iter().for_each(|news| self.pass_on_news(news, effects));
+            pending_update.into_iter().for_each(|update| self.pass_on_news(update, effects));
             return;
         }
         let from = self.tellers(teller);
-        let (begun_ms, after_ms) = (now_ms, Millis::ZERO);
-        let fetch = Fetch { from, question, after_ms, begun_ms, passed_on };
+        let (begun_ms, delay_ms) = (now_ms, Millis::ZERO);
+        let fetch = Fetch { from, request, delay_ms, begun_ms, pending_update };
         self.begin_fetch(now_ms, fetch, effects);
     }
 
@@ -204,7 +212,7 @@
             }
         }
         if !heard.is_empty() {
-            effects.push(Effect::PeersHeard(heard));
+            effects.push(Effect::PeersDiscovered(heard));
         }
     }
 }
--- a/crates/published/src/gossip/sending.rs
+++ b/crates/published/src/gossip/sending.rs
@@ -9,14 +9,14 @@
 const MEMBERS_TOLD: usize = 100;
 
 impl Gossip {
-    pub(super) fn hello(&self, greeting: HelloKind) -> Message {
-        let digest = self.members.digest();
-        Message::Hello { from: self.members.own().clone(), greeting, digest }
+    pub(super) fn hello(&self, kind: HelloKind) -> Message {
+        let members_digest = self.members.digest();
+        Message::Hello { from: self.members.own().clone(), kind, members_digest }
     }
 
     pub(super) fn tell_members(&self, to: SocketAddr, effects: &mut Vec<Effect>) {
         for some in self.members.all().chunks(MEMBERS_TOLD) {
-            let known = Message::Known { members: some.to_vec(), passes_on: false };
+            let known = Message::Members { members: some.to_vec(), should_relay: false };
             self.send(known, vec![to], effects);
         }
     }
@@ -24,13 +24,13 @@
     /// A host that is new is told that there is a picture to be had here.
     pub(super) fn offer(&self, now_ms: Millis, to: SocketAddr, effects: &mut Vec<Effect>) {
         if self.picture.confirmed_ms().is_some() {
-            let news = self.news(now_ms, self.picture.revision(), None);
-            self.send(Message::StateUpdate { news, passes_on: false }, vec![to], effects);
+            let update = self.update(now_ms, self.picture.revision(), None);
+            self.send(Message::StateUpdate { update, should_relay: false }, vec![to], effects);
         }
     }
 
     /// What this host holds, as news.
-    fn news(&self, now_ms: Millis, after: Revision, changes: Option<Vec<Change>>) -> StateUpdate {
+    fn update(&self, now_ms: Millis, after: Revision, changes: Option<Vec<Change>>) -> StateUpdate {
         StateUpdate {
             reader: self.members.own().clone(),
             revision: self.picture.revision(),
@@ -48,8 +48,8 @@
         changes: Vec<Change>,
         effects: &mut Vec<Effect>,
     ) {
-        let news = self.news(now_ms, after, Some(changes));
-        let told = |passes_on| Message::StateUpdate { news: news.clone(), passes_on };
+        let update = self.update(now_ms, after, Some(changes));
+        let told = |should_relay| Message::StateUpdate { update: update.clone(), should_relay };
         self.tell_fleet(now_ms, told, effects);
     }
 
@@ -61,15 +61,15 @@
         effects: &mut Vec<Effect>,
     ) {
         let listeners = self.members.listeners(now_ms);
-        for passes_on in [true, false] {
-            let told = listeners.iter().filter(|listener| listener.passes_on == passes_on);
+        for should_relay in [true, false] {
+            let told = listeners.iter().filter(|listener| listener.should_relay == should_relay);
             let to = told.map(|&Recipient { address, .. }| address).collect();
-            self.send(message(passes_on), to, effects);
+            self.send(message(should_relay), to, effects);
         }
     }
 
-    pub(super) fn pass_on_news(&self, news: StateUpdate, effects: &mut Vec<Effect>) {
-        self.pass_on(Message::StateUpdate { news, passes_on: false }, effects);
+    pub(super) fn pass_on_news(&self, update: StateUpdate, effects: &mut Vec<Effect>) {
+        self.pass_on(Message::StateUpdate { update, should_relay: false }, effects);
     }
 
     /// Tells the other hosts of this zone what a host of another zone told.
--- a/crates/published/src/members/recipients.rs
+++ b/crates/published/src/members/recipients.rs
@@ -25,7 +25,7 @@
     /// Where it hears its peers.
     pub address: SocketAddr,
     /// Whether it is to pass the news on in its availability zone, and to answer.
-    pub passes_on: bool,
+    pub should_relay: bool,
 }
 
 impl Members {
@@ -42,7 +42,7 @@
         };
         let told: Vec<Recipient> = zones.into_iter().flat_map(tell).collect();
         let leaving = self.leaving_neighbours();
-        let leaving = leaving.map(|address| Recipient { address, passes_on: false });
+        let leaving = leaving.map(|address| Recipient { address, should_relay: false });
         told.into_iter().chain(leaving).collect()
     }
 
@@ -72,8 +72,8 @@
 }
 
 impl Known {
-    fn listener(&self, passes_on: bool) -> Recipient {
-        Recipient { address: self.member.address, passes_on }
+    fn listener(&self, should_relay: bool) -> Recipient {
+        Recipient { address: self.member.address, should_relay }
     }
 
     fn is_silent(&self, now_ms: Millis) -> bool {
--- a/crates/published/src/reading.rs
+++ b/crates/published/src/reading.rs
@@ -66,9 +66,9 @@
     /// Read the routing and a sample of the upstreams.
     Sample,
     /// Read as much as one call brings.
-    First,
+    FirstPage,
     /// Read everything.
-    Whole,
+    Snapshot,
     /// Read what changed, and wait at the source for so long if nothing did.
     Changes(Millis),
 }
@@ -147,9 +147,9 @@
         self.hold = None;
         match picture.confirmed_ms() {
             None if samples => ReadStep::Sample,
-            None if !self.has_first => ReadStep::First,
-            None => ReadStep::Whole,
-            Some(_) if self.needs_whole => ReadStep::Whole,
+            None if !self.has_first => ReadStep::FirstPage,
+            None => ReadStep::Snapshot,
+            Some(_) if self.needs_whole => ReadStep::Snapshot,
             // Who steps in for a silent reader tells the others at once that it has.
             Some(at_ms) if now_ms.since(at_ms) >= PATIENCE_MS => ReadStep::Changes(Millis::ZERO),
             Some(_) => ReadStep::Changes(WATCH_MS),
--- a/crates/published/src/state.rs
+++ b/crates/published/src/state.rs
@@ -130,31 +130,31 @@
     /// Takes a whole reading, made at `at_ms`.
     pub fn take_whole(&mut self, at_ms: Millis, whole: Snapshot) -> Vec<StateChange> {
         self.note_return(at_ms);
-        let mut beliefs = Vec::new();
+        let mut state_changes = Vec::new();
         let is_newest = whole.revision >= self.revision;
         if self.confirmed_ms.is_none() {
             self.removals_since = whole.revision;
         }
         for removal in &whole.overwritten {
-            self.remove(at_ms, removal.clone(), &mut beliefs);
+            self.remove(at_ms, removal.clone(), &mut state_changes);
         }
         let missing = if is_newest { self.missing_from(&whole) } else { Vec::new() };
         let ended = if is_newest { self.evacuations_missing_from(&whole) } else { Vec::new() };
         for entry in whole.items {
-            self.write(entry, &mut beliefs);
+            self.write(entry, &mut state_changes);
         }
         for upstream in missing {
             let cause = RemovalCause::Deleted;
             let removal = Removal { upstream, revision: whole.revision, cause };
-            self.remove(at_ms, removal, &mut beliefs);
+            self.remove(at_ms, removal, &mut state_changes);
         }
         for zone in ended {
             let revision = whole.revision;
-            self.end_evacuation(at_ms, EvacuationEnd { zone, revision }, &mut beliefs);
+            self.end_evacuation(at_ms, EvacuationEnd { zone, revision }, &mut state_changes);
         }
         self.revision = self.revision.max(whole.revision);
         self.confirm(at_ms, whole.revision);
-        beliefs
+        state_changes
     }
 
     /// Takes all changes after `after` up to `revision`, known at `at_ms`.
@@ -169,21 +169,21 @@
         changes: Vec<Change>,
     ) -> (Vec<StateChange>, bool) {
         self.note_return(at_ms);
-        let mut beliefs = Vec::new();
+        let mut state_changes = Vec::new();
         let mut is_gapless = after <= self.revision;
         for change in changes {
             match change {
-                Change::Written(entry) => self.write(entry, &mut beliefs),
-                Change::Patched(entry) => is_gapless &= self.patch(&entry, &mut beliefs),
-                Change::Removed(removal) => self.remove(at_ms, removal, &mut beliefs),
-                Change::EvacuationEnded(end) => self.end_evacuation(at_ms, end, &mut beliefs),
+                Change::Written(entry) => self.write(entry, &mut state_changes),
+                Change::Patched(entry) => is_gapless &= self.patch(&entry, &mut state_changes),
+                Change::Removed(removal) => self.remove(at_ms, removal, &mut state_changes),
+                Change::EvacuationEnded(end) => self.end_evacuation(at_ms, end, &mut state_changes),
             }
         }
         if is_gapless {
             self.revision = self.revision.max(revision);
             self.confirm(at_ms, revision);
         }
-        (beliefs, is_gapless)
+        (state_changes, is_gapless)
     }
 
     /// Takes what a peer told of what was missing, known to it at `at_ms`.
@@ -191,7 +191,7 @@
     /// Returns false beside the beliefs where something is missing still.
     pub fn take_catch_up(&mut self, at_ms: Millis, catch_up: CatchUp) -> (Vec<StateChange>, bool) {
         match catch_up {
-            CatchUp::Whole(whole) => (self.take_whole(at_ms, whole), true),
+            CatchUp::Snapshot(whole) => (self.take_whole(at_ms, whole), true),
             CatchUp::Changes { after, revision, changes } => {
                 self.take_changes(at_ms, after, revision, changes)
             }
@@ -207,13 +207,13 @@
             .filter(|(_, lapsed)| is_over(lapsed))
             .map(|(id, lapsed)| lapsed.removal(id))
             .collect();
-        let mut beliefs = Vec::new();
+        let mut state_changes = Vec::new();
         for removal in over {
             self.lapsed.remove(&removal.upstream);
-            self.drop_entry(now_ms, removal, &mut beliefs);
+            self.drop_entry(now_ms, removal, &mut state_changes);
         }
         self.drop_tombstones(now_ms);
-        beliefs
+        state_changes
     }
 
     fn drop_tombstones(&mut self, now_ms: Millis) {
@@ -245,19 +245,22 @@
             .collect()
     }
 
-    fn write(&mut self, entry: Entry<Item>, beliefs: &mut Vec<StateChange>) {
+    fn write(&mut self, entry: Entry<Item>, state_changes: &mut Vec<StateChange>) {
         match entry.value {
             Item::Routing(routing) => {
-                self.write_routing(Entry { revision: entry.revision, value: routing }, beliefs);
+                self.write_routing(
+                    Entry { revision: entry.revision, value: routing },
+                    state_changes,
+                );
             }
             Item::Upstream(upstream) => {
                 let entry = Entry { revision: entry.revision, value: upstream };
-                self.write_upstream(entry, beliefs);
+                self.write_upstream(entry, state_changes);
             }
             Item::Evacuation(zone) => {
                 let revision = entry.revision;
                 if self.evacuations.begin(revision, zone.clone()) {
-                    beliefs.push(StateChange::ZoneEvacuated { zone, revision });
+                    state_changes.push(StateChange::ZoneEvacuated { zone, revision });
                 }
             }
         }
--- a/crates/published/src/state/bootstrap.rs
+++ b/crates/published/src/state/bootstrap.rs
@@ -37,13 +37,13 @@
     /// The routing, the evacuations and some upstreams; nothing if the routing alone is too large.
     pub items: Vec<Entry<Item>>,
     /// Whether that is the whole picture.
-    pub is_whole: bool,
+    pub is_complete: bool,
 }
 
 impl BootstrapSnapshot {
     /// The same for a host that has to fetch everything.
     pub fn without_items(&self) -> BootstrapSnapshot {
-        BootstrapSnapshot { items: Vec::new(), is_whole: false, ..*self }
+        BootstrapSnapshot { items: Vec::new(), is_complete: false, ..*self }
     }
 }
 
@@ -60,14 +60,14 @@
             return None;
         }
         let (age_ms, revision) = (self.age_ms(now_ms).unwrap_or_default(), self.revision);
-        let none = BootstrapSnapshot { age_ms, revision, items: Vec::new(), is_whole: false };
+        let none = BootstrapSnapshot { age_ms, revision, items: Vec::new(), is_complete: false };
         let routing = self.routing.as_ref();
         if routing.is_some_and(|entry| entry.value.routes.len() > MOST_ROUTES) {
             return Some(none);
         }
         let is_small = self.upstreams.len() <= MOST_TOLD_WHOLE && self.lapsed.is_empty();
-        let is_whole = is_small && self.confirmed_ms.is_some();
-        let upstreams = match is_whole {
+        let is_complete = is_small && self.confirmed_ms.is_some();
+        let upstreams = match is_complete {
             true => self.upstreams.values().cloned().collect(),
             false => self.preferred_by(host, zone),
         };
@@ -85,7 +85,7 @@
                 .chain(self.evacuations_in_force())
                 .chain(upstreams)
                 .collect(),
-            is_whole,
+            is_complete,
             ..none
         })
     }
@@ -115,8 +115,8 @@
 
     /// Takes a first picture, known at `at_ms`. One that is not whole confirms nothing.
     pub fn take_bootstrap(&mut self, at_ms: Millis, first: BootstrapSnapshot) -> Vec<StateChange> {
-        let BootstrapSnapshot { revision, items, is_whole, .. } = first;
-        if is_whole {
+        let BootstrapSnapshot { revision, items, is_complete, .. } = first;
+        if is_complete {
             return self.take_whole(at_ms, Snapshot { revision, items, overwritten: Vec::new() });
         }
         self.take_items(items)
@@ -124,11 +124,11 @@
 
     /// Takes a part of what is published, to begin with.
     pub fn take_items(&mut self, items: Vec<Entry<Item>>) -> Vec<StateChange> {
-        let mut beliefs = Vec::new();
+        let mut state_changes = Vec::new();
         for entry in items {
-            self.write(entry, &mut beliefs);
+            self.write(entry, &mut state_changes);
         }
-        beliefs
+        state_changes
     }
 
     /// Whether others can begin with what is held.
--- a/crates/published/src/state/catch_up.rs
+++ b/crates/published/src/state/catch_up.rs
@@ -37,7 +37,7 @@
         changes: Vec<Change>,
     },
     /// All entries; a routing that the asking host holds too is left out.
-    Whole(Snapshot),
+    Snapshot(Snapshot),
 }
 
 impl CatchUp {
@@ -45,7 +45,7 @@
     pub fn revision(&self) -> Revision {
         match self {
             CatchUp::Changes { revision, .. } => *revision,
-            CatchUp::Whole(whole) => whole.revision,
+            CatchUp::Snapshot(whole) => whole.revision,
         }
     }
 }
@@ -60,7 +60,7 @@
     /// What a peer needs that holds so much.
     pub fn catch_up(&self, held: KnownRevisions) -> CatchUp {
         match held.revision < self.removals_since {
-            true => CatchUp::Whole(self.whole_without(held.routing)),
+            true => CatchUp::Snapshot(self.whole_without(held.routing)),
             false => CatchUp::Changes {
                 after: held.revision,
                 revision: self.revision,
--- a/crates/published/src/state/entries.rs
+++ b/crates/published/src/state/entries.rs
@@ -48,7 +48,7 @@
     pub(super) fn write_upstream(
         &mut self,
         entry: Entry<Arc<Upstream>>,
-        beliefs: &mut Vec<StateChange>,
+        state_changes: &mut Vec<StateChange>,
     ) {
         let (id, revision) = (entry.value.id.clone(), entry.revision);
         let is_buried = self.removed.get(&id).is_some_and(|tombstone| tombstone.buries(&entry));
@@ -59,7 +59,7 @@
         let entry = with_known_start(entry, held);
         match held {
             Some(held) if entry.value.is_later_run_than(&held.value) => {
-                beliefs.push(StateChange::UpstreamRestarted {
+                state_changes.push(StateChange::UpstreamRestarted {
                     upstream: id.clone(),
                     revision,
                     former_start_ms: held.value.run,
@@ -70,16 +70,16 @@
         }
         if self.lapsed.get(&id).is_some_and(|lapsed| lapsed.revision < revision) {
             self.lapsed.remove(&id);
-            beliefs.push(StateChange::UpstreamReturned { upstream: id.clone(), revision });
+            state_changes.push(StateChange::UpstreamReturned { upstream: id.clone(), revision });
         }
         let was = held.map(|held| held.value.mode);
         match entry.value.mode {
             mode if was == Some(mode) => {}
             UpstreamMode::Ready => {
-                beliefs.push(StateChange::UpstreamJoined { upstream: id.clone(), revision });
+                state_changes.push(StateChange::UpstreamJoined { upstream: id.clone(), revision });
             }
             UpstreamMode::Draining => {
-                beliefs.push(StateChange::UpstreamLeaving { upstream: id.clone(), revision });
+                state_changes.push(StateChange::UpstreamLeaving { upstream: id.clone(), revision });
             }
         }
         // From here on the newer entry guards against late news.
@@ -91,7 +91,7 @@
         &mut self,
         now_ms: Millis,
         removal: Removal,
-        beliefs: &mut Vec<StateChange>,
+        state_changes: &mut Vec<StateChange>,
     ) {
         let Some(held) = self.upstreams.get(&removal.upstream) else {
             self.bury(now_ms, &removal);
@@ -106,17 +106,17 @@
                 if held.value.mode == UpstreamMode::Ready
                     && removal.cause == RemovalCause::Deleted =>
             {
-                self.lapse(removal, until_ms, beliefs);
+                self.lapse(removal, until_ms, state_changes);
             }
-            _ => self.drop_entry(now_ms, removal, beliefs),
+            _ => self.drop_entry(now_ms, removal, state_changes),
         }
     }
 
-    fn lapse(&mut self, removal: Removal, until_ms: Millis, beliefs: &mut Vec<StateChange>) {
+    fn lapse(&mut self, removal: Removal, until_ms: Millis, state_changes: &mut Vec<StateChange>) {
         let Removal { upstream, revision, .. } = removal;
         let lapsed = Lapsed { revision, until_ms };
         if self.lapsed.insert(upstream.clone(), lapsed).is_none() {
-            beliefs.push(StateChange::UpstreamLapsed { upstream, until_ms });
+            state_changes.push(StateChange::UpstreamLapsed { upstream, until_ms });
         }
     }
 
@@ -124,13 +124,13 @@
         &mut self,
         now_ms: Millis,
         removal: Removal,
-        beliefs: &mut Vec<StateChange>,
+        state_changes: &mut Vec<StateChange>,
     ) {
         self.bury(now_ms, &removal);
         self.lapsed.remove(&removal.upstream);
         if self.upstreams.remove(&removal.upstream).is_some() {
             let Removal { upstream, revision, cause } = removal;
-            beliefs.push(StateChange::UpstreamGone { upstream, revision, cause });
+            state_changes.push(StateChange::UpstreamGone { upstream, revision, cause });
         }
     }
 
--- a/crates/published/src/state/evacuated.rs
+++ b/crates/published/src/state/evacuated.rs
@@ -43,11 +43,11 @@
         &mut self,
         now_ms: Millis,
         end: EvacuationEnd,
-        beliefs: &mut Vec<StateChange>,
+        state_changes: &mut Vec<StateChange>,
     ) {
         if self.evacuations.end(now_ms, end.clone()) {
             let EvacuationEnd { zone, revision } = end;
-            beliefs.push(StateChange::ZoneRestored { zone, revision });
+            state_changes.push(StateChange::ZoneRestored { zone, revision });
         }
     }
 }
--- a/crates/published/src/state/routing.rs
+++ b/crates/published/src/state/routing.rs
@@ -9,7 +9,7 @@
     pub(super) fn patch(
         &mut self,
         entry: &Entry<RoutingPatch>,
-        beliefs: &mut Vec<StateChange>,
+        state_changes: &mut Vec<StateChange>,
     ) -> bool {
         let patched = match &self.routing {
             Some(held) if held.revision >= entry.revision => return true,
@@ -17,7 +17,7 @@
             _ => return false,
         };
         let value = Arc::new(patched);
-        self.write_routing(Entry { revision: entry.revision, value }, beliefs);
+        self.write_routing(Entry { revision: entry.revision, value }, state_changes);
         self.last_patch = Some(entry.clone());
         true
     }
@@ -44,17 +44,18 @@
     pub(super) fn write_routing(
         &mut self,
         entry: Entry<Arc<Routing>>,
-        beliefs: &mut Vec<StateChange>,
+        state_changes: &mut Vec<StateChange>,
     ) {
         let version = entry.value.version;
         match &self.routing {
             Some(held) if held.revision >= entry.revision => {}
             Some(held) if held.value.version > version => {
                 let in_force = held.value.version;
-                beliefs.push(StateChange::RoutingRefused { version, in_force });
+                state_changes.push(StateChange::RoutingRefused { version, in_force });
             }
             _ => {
-                beliefs.push(StateChange::RoutingInForce { version, revision: entry.revision });
+                state_changes
+                    .push(StateChange::RoutingInForce { version, revision: entry.revision });
                 self.routing = Some(entry);
             }
         }
--- a/crates/published/tests/catch_up.rs
+++ b/crates/published/tests/catch_up.rs
@@ -41,7 +41,7 @@
     let catch_up = teller.catch_up(behind.held());
     match &catch_up {
         CatchUp::Changes { changes, .. } => assert_eq!(changes.len(), told, "{changes:?}"),
-        CatchUp::Whole(_) => panic!("told everything"),
+        CatchUp::Snapshot(_) => panic!("told everything"),
     }
     assert!(behind.take_catch_up(Millis(30), catch_up).1);
     assert_eq!(behind.digest(), teller.digest());
@@ -61,9 +61,9 @@
 fn who_holds_nothing_is_told_everything() {
     let teller = picture();
     let mut new = PublishedState::default();
-    let CatchUp::Whole(everything) = teller.catch_up(new.held()) else { panic!() };
+    let CatchUp::Snapshot(everything) = teller.catch_up(new.held()) else { panic!() };
     assert_eq!(everything.items.len(), 4);
-    new.take_catch_up(Millis(20), CatchUp::Whole(everything));
+    new.take_catch_up(Millis(20), CatchUp::Snapshot(everything));
     assert_eq!(new.digest(), teller.digest());
 }
 
@@ -74,11 +74,11 @@
     let mut torn = PublishedState::default();
     torn.take_whole(BEGIN_MS, whole(10, vec![routing(1, 7), written(2, "a"), written(5, "x")]));
     assert_ne!(torn.digest(), teller.digest());
-    let CatchUp::Whole(everything) = teller.catch_up(torn.held().without_entries()) else {
+    let CatchUp::Snapshot(everything) = teller.catch_up(torn.held().without_entries()) else {
         panic!()
     };
     assert_eq!(everything.items.len(), 3, "{everything:?}");
-    torn.take_catch_up(Millis(20), CatchUp::Whole(everything));
+    torn.take_catch_up(Millis(20), CatchUp::Snapshot(everything));
     assert_eq!(torn.digest(), teller.digest());
 }
 
@@ -88,7 +88,7 @@
     take(&mut teller, &[removed(11, "a")]);
     teller.settle(Millis(100_000));
     let catch_up = teller.catch_up(behind.held());
-    assert!(matches!(catch_up, CatchUp::Whole(_)), "{catch_up:?}");
+    assert!(matches!(catch_up, CatchUp::Snapshot(_)), "{catch_up:?}");
     behind.take_catch_up(Millis(100_001), catch_up);
     // For the one behind the source was away so long; entries may come back.
     behind.settle(Millis(100_001) + RETURN_GRACE_MS);
--- a/crates/published/tests/evacuation.rs
+++ b/crates/published/tests/evacuation.rs
@@ -77,11 +77,11 @@
     knows.take_changes(NOW, Revision(1), Revision(4), changes.to_vec());
     assert_ne!(knows.digest(), missed.digest());
     let told = knows.catch_up(missed.held());
-    let (beliefs, is_gapless) = missed.take_catch_up(NOW, told);
+    let (state_changes, is_gapless) = missed.take_catch_up(NOW, told);
     assert!(is_gapless);
     assert_eq!((zones(&missed), missed.digest()), (vec!["kariakoo".to_owned()], knows.digest()));
     let zone = "kariakoo".parse().unwrap();
-    assert!(beliefs.contains(&StateChange::ZoneEvacuated { zone, revision: Revision(2) }));
+    assert!(state_changes.contains(&StateChange::ZoneEvacuated { zone, revision: Revision(2) }));
 }
 
 #[test]
--- a/crates/published/tests/joining.rs
+++ b/crates/published/tests/joining.rs
@@ -60,7 +60,7 @@
 }
 
 fn answer(joining: &mut Gossip, from: u16, bootstrap: Bootstrap) -> Vec<Effect> {
-    let reply = published::JoinReply { from: member(from), hosts: 9, bootstrap };
+    let reply = published::JoinReply { from: member(from), host_count: 9, bootstrap };
     joining.take(NOW, Message::JoinReply(Box::new(reply)), member(from).address)
 }
 
@@ -70,15 +70,15 @@
 #[case::many_and_all_near(1_080, false, 5)]
 fn it_is_told_all_or_what_it_needs_to_begin(
     #[case] upstreams: u64,
-    #[case] is_whole: bool,
+    #[case] is_complete: bool,
     #[case] told: usize,
 ) {
     let offer = join(&mut seed(upstreams), 2, NOW).unwrap();
     let mut joining = host(2);
     answer(&mut joining, 1, offer);
     assert!(joining.picture().routing().is_some());
-    assert_eq!(joining.picture().confirmed_ms().is_some(), is_whole);
-    assert_eq!(joining.picture().is_partial(), !is_whole);
+    assert_eq!(joining.picture().confirmed_ms().is_some(), is_complete);
+    assert_eq!(joining.picture().is_partial(), !is_complete);
     assert_eq!(joining.picture().upstreams().count(), told);
     assert_eq!(joining.members().count(), 9, "the fleet that the seed knows");
 }
@@ -120,13 +120,13 @@
     let mut seed = host(1);
     seed.set_reading(true);
     let offer = join(&mut seed, 2, NOW).unwrap();
-    assert_eq!(offer, Bootstrap::NotYet { is_reading: true });
+    assert_eq!(offer, Bootstrap::NotReady { is_reading: true });
     let mut joining = host(2);
     answer(&mut joining, 1, offer);
     assert!(joining.is_being_told(NOW + Millis(500)));
     assert!(!joining.is_being_told(NOW + Millis(1_000)), "not for ever");
     let effects = seed.take_whole(NOW + Millis(100), published(34));
-    assert!(matches!(answer_to(2, &effects), Some(Bootstrap::Whole(_))));
+    assert!(matches!(answer_to(2, &effects), Some(Bootstrap::Complete(_))));
 }
 
 #[test]
@@ -161,10 +161,10 @@
     }
     let mut effects = seed.take_whole(NOW, published(1_000));
     assert!(effects.len() < 20, "not all at once");
-    while let Some(Effect::AnswerWaiting { .. }) =
-        effects.iter().rfind(|effect| matches!(effect, Effect::AnswerWaiting { .. }))
+    while let Some(Effect::AnswerPendingJoins { .. }) =
+        effects.iter().rfind(|effect| matches!(effect, Effect::AnswerPendingJoins { .. }))
     {
-        effects.retain(|effect| !matches!(effect, Effect::AnswerWaiting { .. }));
+        effects.retain(|effect| !matches!(effect, Effect::AnswerPendingJoins { .. }));
         effects.extend(seed.answer_more(NOW));
     }
     let position = |wanted: u16| {
@@ -198,7 +198,7 @@
     }
     let known = |effects: Vec<Effect>| -> Vec<usize> {
         let of = |effect: Effect| match effect {
-            Effect::Send { message: Message::Known { members, .. }, .. } => Some(members.len()),
+            Effect::Send { message: Message::Members { members, .. }, .. } => Some(members.len()),
             _ => None,
         };
         effects.into_iter().filter_map(of).collect()
--- a/crates/published/tests/members.rs
+++ b/crates/published/tests/members.rs
@@ -123,7 +123,7 @@
 
 fn relays(told: &[Recipient]) -> Vec<SocketAddr> {
     let mut relays: Vec<SocketAddr> =
-        told.iter().filter(|listener| listener.passes_on).map(|l| l.address).collect();
+        told.iter().filter(|listener| listener.should_relay).map(|l| l.address).collect();
     relays.sort();
     relays
 }
@@ -207,14 +207,14 @@
 fn a_relay_tells_those_that_leave() {
     let mut gossip = Gossip::new(in_zone("b", 5_000), Pcg64Mcg::seed_from_u64(1));
     let sender = SocketAddr::new([127, 0, 0, 1].into(), 1);
-    let hello = |from: Member| Message::Hello { from, greeting: HelloKind::Alive, digest: 0 };
+    let hello = |from: Member| Message::Hello { from, kind: HelloKind::Alive, members_digest: 0 };
     for member in [in_zone("b", 5_001), in_zone("b", 5_002), in_zone("a", 1)] {
         gossip.take(Millis(10), hello(member), sender);
     }
     let left = in_zone("b", 5_001);
-    let bye = Message::Bye { host: left.host.clone(), incarnation: left.incarnation };
+    let bye = Message::Leave { host: left.host.clone(), incarnation: left.incarnation };
     gossip.take(Millis(20), bye, sender);
-    let news = StateUpdate {
+    let update = StateUpdate {
         reader: in_zone("a", 1),
         revision: Revision(0),
         age_ms: Millis::ZERO,
@@ -222,12 +222,13 @@
         after: Revision(0),
         changes: Some(Vec::new()),
     };
-    let effects = gossip.take(Millis(30), Message::StateUpdate { news, passes_on: true }, sender);
-    let passed_on = effects.iter().find_map(|effect| match effect {
+    let effects =
+        gossip.take(Millis(30), Message::StateUpdate { update, should_relay: true }, sender);
+    let pending_update = effects.iter().find_map(|effect| match effect {
         Effect::Send { message: Message::StateUpdate { .. }, to } => Some(to.clone()),
         _ => None,
     });
-    assert!(passed_on.unwrap().contains(&left.address));
+    assert!(pending_update.unwrap().contains(&left.address));
 }
 
 #[test]
--- a/crates/published/tests/reading.rs
+++ b/crates/published/tests/reading.rs
@@ -144,7 +144,9 @@
                                 self.wake[at] = until_ms;
                                 continue;
                             }
-                            ReadStep::Sample | ReadStep::First | ReadStep::Whole => ANSWER_MS,
+                            ReadStep::Sample | ReadStep::FirstPage | ReadStep::Snapshot => {
+                                ANSWER_MS
+                            }
                             ReadStep::Changes(wait_ms) if is_met(now_ms) => wait_ms + SILENCE_MS,
                             ReadStep::Changes(wait_ms) => wait_ms + ANSWER_MS,
                         };
@@ -283,14 +285,16 @@
     let mut host = Host::new(3, start);
     let due_ms = |step: ReadStep| match step {
         ReadStep::Wait(until_ms) => until_ms,
-        ReadStep::Sample | ReadStep::First | ReadStep::Whole | ReadStep::Changes(_) => Millis::ZERO,
+        ReadStep::Sample | ReadStep::FirstPage | ReadStep::Snapshot | ReadStep::Changes(_) => {
+            Millis::ZERO
+        }
     };
     assert!(due_ms(host.step(Millis::ZERO)) <= Millis(first_ms));
-    assert_eq!(host.step(Millis(first_ms)), ReadStep::First);
+    assert_eq!(host.step(Millis(first_ms)), ReadStep::FirstPage);
     // One call brought all of a small source; the rest of a large one may come from a peer.
     host.reader.began();
     assert!(due_ms(host.step(Millis(first_ms))) <= Millis(rest_ms));
-    assert_eq!(host.step(Millis(rest_ms)), ReadStep::Whole);
+    assert_eq!(host.step(Millis(rest_ms)), ReadStep::Snapshot);
 }
 
 /// Who has callers waiting and a narrow link doesn't wait for it to carry everything.
@@ -329,8 +333,8 @@
     assert_eq!(host.step(Millis(20)), ReadStep::Sample);
     host.reader.sampled(is_enough);
     let next = host.step(Millis(1_000));
-    assert_eq!(next == ReadStep::First, reads_on, "{next:?}");
-    assert_eq!(host.step(Millis(2_000)) == ReadStep::Whole, !reads_on);
+    assert_eq!(next == ReadStep::FirstPage, reads_on, "{next:?}");
+    assert_eq!(host.step(Millis(2_000)) == ReadStep::Snapshot, !reads_on);
 }
 
 #[test]
@@ -357,7 +361,7 @@
         Host::new(3, Start { is_seed: true, is_first: false, other_seeds: 0, link_mbps: None });
     host.read(Millis(10));
     host.reader.needs_whole();
-    assert_eq!(host.step(Millis(2_000)), ReadStep::Whole);
+    assert_eq!(host.step(Millis(2_000)), ReadStep::Snapshot);
 }
 
 #[test]
@@ -375,7 +379,7 @@
     assert!(matches!(host.step(until_ms), ReadStep::Changes(_)));
     // The source answered that its history is gone: it is there.
     host.reader.needs_whole();
-    assert_eq!(host.step(until_ms), ReadStep::Whole);
+    assert_eq!(host.step(until_ms), ReadStep::Snapshot);
 }
 
 #[test]
--- a/crates/published/tests/restart.rs
+++ b/crates/published/tests/restart.rs
@@ -83,10 +83,10 @@
     let mut picture = PublishedState::default();
     picture.take_whole(Millis(10), whole(2, vec![of_run(1, "a", 100)]));
     picture.take_changes(Millis(11), Revision(2), Revision(3), vec![draining(3, "a")]);
-    let (beliefs, _) =
+    let (state_changes, _) =
         picture.take_changes(Millis(12), Revision(3), Revision(4), vec![of_run(4, "a", 200)]);
     let joined = StateChange::UpstreamJoined { upstream: id("a"), revision: Revision(4) };
-    assert_eq!(beliefs, [restarted(4, 100, 200), joined]);
+    assert_eq!(state_changes, [restarted(4, 100, 200), joined]);
 }
 
 #[test]
@@ -95,10 +95,10 @@
     picture.take_whole(Millis(1_000), whole(5, vec![of_run(1, "a", 100)]));
     let at_ms = Millis(1_001) + AWAY_MS;
     picture.take_changes(at_ms, Revision(5), Revision(6), vec![removed(6, "a")]);
-    let (beliefs, _) =
+    let (state_changes, _) =
         picture.take_changes(at_ms, Revision(6), Revision(7), vec![of_run(7, "a", 200)]);
     let returned = StateChange::UpstreamReturned { upstream: id("a"), revision: Revision(7) };
-    assert_eq!(beliefs, [restarted(7, 100, 200), returned]);
+    assert_eq!(state_changes, [restarted(7, 100, 200), returned]);
     assert!(picture.settle(at_ms + RETURN_GRACE_MS).is_empty());
     assert!(picture.upstream(&id("a")).is_some());
 }
@@ -110,8 +110,8 @@
     let mut peer = PublishedState::default();
     peer.take_whole(Millis(10), teller.whole());
     teller.take_changes(Millis(11), Revision(1), Revision(2), vec![of_run(2, "a", 200)]);
-    let (beliefs, _) = peer.take_catch_up(Millis(12), teller.catch_up(peer.held()));
-    assert_eq!(beliefs, [restarted(2, 100, 200)]);
+    let (state_changes, _) = peer.take_catch_up(Millis(12), teller.catch_up(peer.held()));
+    assert_eq!(state_changes, [restarted(2, 100, 200)]);
     // One that took the former run's late words for the newest is set right by either way.
     let mut misled = PublishedState::default();
     misled.take_whole(Millis(10), whole(3, vec![of_run(3, "a", 100)]));
@@ -133,7 +133,7 @@
 #[case::in_a_whole_reading(Some(whole(6, vec![written(2, "b")])))]
 fn an_entry_that_names_no_upstream_ends_the_former_at_once(#[case] reading: Option<Snapshot>) {
     let (mut picture, at_ms) = returned();
-    let beliefs = match reading {
+    let state_changes = match reading {
         None => {
             let changes = vec![overwritten(6, "a")];
             picture.take_changes(at_ms, Revision(5), Revision(6), changes).0
@@ -145,7 +145,7 @@
     };
     let cause = RemovalCause::Overwritten;
     let gone = StateChange::UpstreamGone { upstream: id("a"), revision: Revision(6), cause };
-    assert_eq!(beliefs, [gone]);
+    assert_eq!(state_changes, [gone]);
     assert!(picture.upstream(&id("a")).is_none());
     assert!(picture.upstream(&id("b")).is_some());
     assert_eq!(picture.revision(), Revision(6));
@@ -171,11 +171,11 @@
 #[rstest]
 #[case::by_changes(false)]
 #[case::by_a_whole_picture(true)]
-fn a_peer_ends_it_at_once_too(#[case] is_whole: bool) {
+fn a_peer_ends_it_at_once_too(#[case] is_complete: bool) {
     let (mut teller, at_ms) = returned();
     let (mut peer, _) = returned();
     teller.take_changes(at_ms, Revision(5), Revision(6), vec![overwritten(6, "a")]);
-    let held = if is_whole { peer.held().without_entries() } else { peer.held() };
+    let held = if is_complete { peer.held().without_entries() } else { peer.held() };
     peer.take_catch_up(at_ms, teller.catch_up(held));
     assert!(peer.upstream(&id("a")).is_none());
     assert_eq!(peer.digest(), teller.digest());
--- a/crates/published/tests/state.rs
+++ b/crates/published/tests/state.rs
@@ -66,9 +66,9 @@
 fn missing_entries_of_a_whole_reading_are_gone() {
     let mut picture = PublishedState::default();
     picture.take_whole(Millis(10), whole(5, vec![written(1, "a"), written(2, "b")]));
-    let beliefs = picture.take_whole(Millis(20), whole(9, vec![written(2, "b")]));
+    let state_changes = picture.take_whole(Millis(20), whole(9, vec![written(2, "b")]));
     assert_eq!(names(&picture), ["b"]);
-    assert_eq!(beliefs, [gone(9, "a")]);
+    assert_eq!(state_changes, [gone(9, "a")]);
 }
 
 #[test]
@@ -104,8 +104,8 @@
     assert_eq!(names(&picture), ["a"]);
     assert!(picture.settle(at_ms + RETURN_GRACE_MS - Millis(1)).is_empty());
     assert_eq!(names(&picture), ["a"]);
-    let beliefs = picture.settle(at_ms + RETURN_GRACE_MS);
-    assert_eq!(beliefs, [gone(8, "a")]);
+    let state_changes = picture.settle(at_ms + RETURN_GRACE_MS);
+    assert_eq!(state_changes, [gone(8, "a")]);
     assert!(names(&picture).is_empty());
 }
 
@@ -113,10 +113,10 @@
 fn what_came_back_stays() {
     let at_ms = Millis(1_001) + AWAY_MS;
     let mut picture = returned(at_ms);
-    let (beliefs, _) =
+    let (state_changes, _) =
         picture.take_changes(at_ms, Revision(9), Revision(10), vec![written(10, "a")]);
     assert_eq!(
-        beliefs,
+        state_changes,
         [StateChange::UpstreamReturned { upstream: id("a"), revision: Revision(10) }]
     );
     assert!(picture.settle(at_ms + RETURN_GRACE_MS).is_empty());
@@ -239,8 +239,8 @@
     reader.take_changes(Millis(1), Revision(0), Revision(1), vec![old]);
     let told = reader.patched(&[new]);
     let mut peer = PublishedState::default();
-    let (beliefs, is_gapless) = peer.take_changes(Millis(2), Revision(0), Revision(2), told);
-    assert!(beliefs.is_empty());
+    let (state_changes, is_gapless) = peer.take_changes(Millis(2), Revision(0), Revision(2), told);
+    assert!(state_changes.is_empty());
     assert!(!is_gapless);
     assert_eq!(peer.revision(), Revision(0));
 }
--- a/crates/published/tests/support/site.rs
+++ b/crates/published/tests/support/site.rs
@@ -368,8 +368,8 @@
 
     fn received(&self, message: Message) -> Message {
         match message {
-            Message::StateUpdate { news, .. } if self.broken == Broken::Relays => {
-                Message::StateUpdate { news, passes_on: false }
+            Message::StateUpdate { update, .. } if self.broken == Broken::Relays => {
+                Message::StateUpdate { update, should_relay: false }
             }
             message => message,
         }
@@ -412,11 +412,11 @@
                 return;
             }
             _ if is_barred => return,
-            ReadStep::Sample | ReadStep::First | ReadStep::Whole => Millis(0),
+            ReadStep::Sample | ReadStep::FirstPage | ReadStep::Snapshot => Millis(0),
             ReadStep::Changes(wait_ms) => wait_ms,
         };
         host.is_reading = true;
-        if matches!(step, ReadStep::First | ReadStep::Whole) {
+        if matches!(step, ReadStep::FirstPage | ReadStep::Snapshot) {
             host.gossip.set_reading(true);
         }
         self.calls += 1;
@@ -445,7 +445,7 @@
             let effects = self.hosts[at].gossip.tell_unread(now_ms);
             return self.carry_out(at, effects);
         }
-        if matches!(asked, ReadStep::First | ReadStep::Whole) {
+        if matches!(asked, ReadStep::FirstPage | ReadStep::Snapshot) {
             let whole = Snapshot {
                 revision: self.revision,
                 items: self.items.values().cloned().collect(),
@@ -475,18 +475,19 @@
                 }
                 Effect::Fetch(fetch) => {
                     let run = self.run_of(at);
-                    self.push(self.now_ms + fetch.after_ms, Event::Fetch { host: at, run, fetch });
+                    self.push(self.now_ms + fetch.delay_ms, Event::Fetch { host: at, run, fetch });
                 }
-                Effect::Believed { .. } => self.hosts[at].wake_ms = self.now_ms,
-                Effect::AnswerWaiting { after_ms } => {
+                Effect::StateUpdated { .. } => self.hosts[at].wake_ms = self.now_ms,
+                Effect::AnswerPendingJoins { delay_ms } => {
                     let run = self.run_of(at);
-                    self.push(self.now_ms + after_ms, Event::AnswerMore { host: at, run });
+                    self.push(self.now_ms + delay_ms, Event::AnswerMore { host: at, run });
                 }
-                Effect::Announce { after_ms } => {
+                Effect::AnnounceJoined { delay_ms } => {
                     let run = self.run_of(at);
-                    self.push(self.now_ms + after_ms, Event::Announce { host: at, run });
+                    self.push(self.now_ms + delay_ms, Event::Announce { host: at, run });
+                }
+                Effect::FetchEnded { .. } | Effect::PeersDiscovered(_) | Effect::PeerRemoved(_) => {
                 }
-                Effect::Fetched { .. } | Effect::PeersHeard(_) | Effect::PeerGone(_) => {}
             }
         }
     }
@@ -507,7 +508,7 @@
         for &address in &fetch.from {
             let peer = self.at_address(address);
             let is_there = self.hosts[peer].is_up && !self.is_cut(at, peer);
-            let told = self.hosts[peer].gossip.tell(self.now_ms, fetch.question);
+            let told = self.hosts[peer].gossip.tell(self.now_ms, fetch.request);
             match told.filter(|_| is_there) {
                 Some(told) => {
                     took_ms = took_ms + self.delay_ms(at, peer) + self.delay_ms(at, peer);
--- a/crates/published/tests/support/starting.rs
+++ b/crates/published/tests/support/starting.rs
@@ -392,8 +392,8 @@
                 return self.push(until_us.max(self.now_us + 1_000), at, Event::ReadStep);
             }
             ReadStep::Sample => (2, 2 * SOURCE_US + bytes / SAMPLES * 8 / host.link_mbps),
-            ReadStep::First => (1, page_us),
-            ReadStep::Whole => (pages - 1, page_us * (pages as u64 - 1)),
+            ReadStep::FirstPage => (1, page_us),
+            ReadStep::Snapshot => (pages - 1, page_us * (pages as u64 - 1)),
             ReadStep::Changes(wait_ms) => (1, SOURCE_US + wait_ms.0 * 1_000),
         };
         if !matches!(step, ReadStep::Changes(_) | ReadStep::Sample) {
@@ -403,7 +403,7 @@
         self.calls += calls;
         let queued_us = match step {
             ReadStep::Changes(_) | ReadStep::Wait(_) | ReadStep::Sample => 0,
-            ReadStep::First | ReadStep::Whole => {
+            ReadStep::FirstPage | ReadStep::Snapshot => {
                 self.source_us = self.source_us.max(self.now_us) + source_us * calls as u64;
                 self.source_us - self.now_us
             }
@@ -427,13 +427,13 @@
                 self.hosts[at].reader.sampled(true);
                 self.hosts[at].gossip.take_page(now_ms, items)
             }
-            ReadStep::First if !is_all => {
+            ReadStep::FirstPage if !is_all => {
                 let items = self.items[..PAGE].to_vec();
                 let reads_on = self.hosts[at].reader.began();
                 self.hosts[at].gossip.set_reading(reads_on);
                 self.hosts[at].gossip.take_page(now_ms, items)
             }
-            ReadStep::First | ReadStep::Whole => {
+            ReadStep::FirstPage | ReadStep::Snapshot => {
                 let items = self.items.clone();
                 self.hosts[at].reader.succeeded(now_ms, true);
                 let whole = Snapshot { revision, items, overwritten: Vec::new() };
@@ -455,19 +455,19 @@
                     to.into_iter().for_each(|to| self.send(at, to, &message));
                 }
                 Effect::Fetch(fetch) => {
-                    let at_us = self.now_us + fetch.after_ms.0 * 1_000;
+                    let at_us = self.now_us + fetch.delay_ms.0 * 1_000;
                     self.push(at_us, at, Event::Fetch { fetch, asked: 0 });
                 }
-                Effect::AnswerWaiting { after_ms } => {
-                    self.push(self.now_us + after_ms.0 * 1_000, at, Event::AnswerMore);
+                Effect::AnswerPendingJoins { delay_ms } => {
+                    self.push(self.now_us + delay_ms.0 * 1_000, at, Event::AnswerMore);
                 }
-                Effect::Announce { after_ms } => {
-                    self.push(self.now_us + after_ms.0 * 1_000, at, Event::Announce);
+                Effect::AnnounceJoined { delay_ms } => {
+                    self.push(self.now_us + delay_ms.0 * 1_000, at, Event::Announce);
                 }
-                Effect::Believed { .. }
-                | Effect::Fetched { .. }
-                | Effect::PeersHeard(_)
-                | Effect::PeerGone(_) => {}
+                Effect::StateUpdated { .. }
+                | Effect::FetchEnded { .. }
+                | Effect::PeersDiscovered(_)
+                | Effect::PeerRemoved(_) => {}
             }
         }
     }
@@ -505,7 +505,7 @@
             true => {
                 self.work(peer, CONNECTION_US);
                 let is_free = self.hosts[peer].link_us < self.now_us + MOST_QUEUED_US;
-                let told = self.hosts[peer].gossip.tell(self.now_ms(), fetch.question);
+                let told = self.hosts[peer].gossip.tell(self.now_ms(), fetch.request);
                 told.filter(|_| is_free)
             }
             false => None,
@@ -531,14 +531,14 @@
 fn size(message: &Message) -> u64 {
     let members = |count: usize| count as u64 * MEMBER_BYTES;
     match message {
-        Message::Join { .. } | Message::Hello { .. } | Message::Unread { .. } => 64,
-        Message::Bye { .. } => 32,
-        Message::Known { members: known, .. } => members(known.len()),
+        Message::Join { .. } | Message::Hello { .. } | Message::ReadFailed { .. } => 64,
+        Message::Leave { .. } => 32,
+        Message::Members { members: known, .. } => members(known.len()),
         Message::StateUpdate { .. } => 96,
         Message::JoinReply(reply) => {
             let first = match &reply.bootstrap {
-                Bootstrap::NotYet { .. } | Bootstrap::Redirect { .. } => 0,
-                Bootstrap::Whole(first) | Bootstrap::Partial { snapshot: first, .. } => {
+                Bootstrap::NotReady { .. } | Bootstrap::Redirect { .. } => 0,
+                Bootstrap::Complete(first) | Bootstrap::Partial { snapshot: first, .. } => {
                     first.items.len() as u64
                 }
             };
