--- a/crates/dispatch/src/attempts.rs
+++ b/crates/dispatch/src/attempts.rs
@@ -5,7 +5,7 @@
 //! promises "not run" without that proof is never passed on.
 
 use domain::Millis;
-use published::Repeat;
+use published::Idempotency;
 use serde::Serialize;
 
 /// Less time than this is not worth another sending.
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptState {
     /// Whether it may run more than once.
-    pub repeat: Repeat,
+    pub repeat: Idempotency,
     /// Upstreams that it may have run on, this sending included.
     pub may_have_run: u32,
     /// Sendings so far.
@@ -245,7 +245,7 @@
 }
 
 fn again(state: AttemptState) -> bool {
-    state.repeat == Repeat::Idempotent
+    state.repeat == Idempotency::Idempotent
         && state.may_have_run < state.attempts
         && state.left_ms > MIN_LEFT_MS
         && !state.is_budget_spent
--- a/crates/dispatch/src/subset.rs
+++ b/crates/dispatch/src/subset.rs
@@ -8,7 +8,7 @@
 
 use crate::upstream::Known;
 use domain::{FastMap, FastSet, HostId, UpstreamId, ZoneName};
-use published::{Eligibility, Preferred, preferred};
+use published::{Eligibility, PreferredCounts, preferred_upstreams};
 
 /// Up to so many upstreams of a service, a host's subset is all of them.
 pub const ALL: usize = 20;
@@ -56,10 +56,10 @@
         let usable_upstreams = usable().count();
         let upstreams_in_zone = entries().filter(|entry| entry.availability_zone == *zone).count();
         let most = match usable_upstreams <= ALL {
-            true => Preferred { near: ALL, far: ALL },
-            false => Preferred { near: NEAR, far: FAR },
+            true => PreferredCounts { local_zone: ALL, other_zones: ALL },
+            false => PreferredCounts { local_zone: NEAR, other_zones: FAR },
         };
-        let chosen = preferred(host, zone, most, entries());
+        let chosen = preferred_upstreams(host, zone, most, entries());
         let members = chosen.into_iter().map(|entry| entry.id.clone()).collect();
         Subset { members, upstreams: usable_upstreams, upstreams_in_zone }
     }
--- a/crates/dispatch/tests/attempts.rs
+++ b/crates/dispatch/tests/attempts.rs
@@ -3,7 +3,7 @@
 
 use dispatch::attempts::{Answered, AttemptState, Cause, End, Next, Refusal, is_not_run, next};
 use domain::Millis;
-use published::Repeat;
+use published::Idempotency;
 use rstest::rstest;
 
 fn answered(status: u16) -> End {
@@ -18,7 +18,7 @@
     End::Answered(Answered { status, not_run: true, is_sealed: false })
 }
 
-fn state(repeat: Repeat) -> AttemptState {
+fn state(repeat: Idempotency) -> AttemptState {
     AttemptState {
         repeat,
         may_have_run: 1,
@@ -39,7 +39,7 @@
     }
 }
 
-fn check(repeat: Repeat, end: End, wanted: &str) {
+fn check(repeat: Idempotency, end: End, wanted: &str) {
     let mut state = state(repeat);
     if is_not_run(end) {
         state.may_have_run = 0;
@@ -65,14 +65,14 @@
 #[case::not_sent(End::NotSent, "again", "again")]
 #[case::broken(End::Broken, "again", "unknown")]
 fn follows(#[case] end: End, #[case] idempotent: &str, #[case] at_most_once: &str) {
-    check(Repeat::Idempotent, end, idempotent);
-    check(Repeat::AtMostOnce, end, at_most_once);
+    check(Idempotency::Idempotent, end, idempotent);
+    check(Idempotency::AtMostOnce, end, at_most_once);
 }
 
 #[rstest]
-#[case::no_budget(AttemptState { is_budget_spent: true, ..state(Repeat::Idempotent) })]
-#[case::no_attempt_left(AttemptState { may_have_run: 2, ..state(Repeat::Idempotent) })]
-#[case::no_time_left(AttemptState { left_ms: Millis(5), ..state(Repeat::Idempotent) })]
+#[case::no_budget(AttemptState { is_budget_spent: true, ..state(Idempotency::Idempotent) })]
+#[case::no_attempt_left(AttemptState { may_have_run: 2, ..state(Idempotency::Idempotent) })]
+#[case::no_time_left(AttemptState { left_ms: Millis(5), ..state(Idempotency::Idempotent) })]
 fn nothing_is_sent_again_without_leave(#[case] state: AttemptState) {
     assert_eq!(name(next(state, End::Broken)), "unknown");
     assert_eq!(name(next(state, answered(500))), "deliver");
@@ -81,7 +81,7 @@
 
 #[test]
 fn what_was_shed_everywhere_is_told_as_not_run_with_a_time_to_come_back() {
-    for repeat in [Repeat::Idempotent, Repeat::AtMostOnce] {
+    for repeat in [Idempotency::Idempotent, Idempotency::AtMostOnce] {
         let state = AttemptState { may_have_run: 0, sent: 4, ..state(repeat) };
         let Next::Refuse(refusal) = next(state, shed(503)) else { panic!("not refused") };
         assert_eq!(refusal.cause, Cause::UpstreamsRefused);
@@ -93,7 +93,7 @@
 
 #[test]
 fn what_may_have_run_once_is_never_told_as_not_run() {
-    let state = AttemptState { sent: 4, ..state(Repeat::Idempotent) };
+    let state = AttemptState { sent: 4, ..state(Idempotency::Idempotent) };
     let Next::Refuse(refusal) = next(state, shed(503)) else { panic!("not refused") };
     assert!(!refusal.is_not_run);
     assert_eq!(refusal.cause.status(), 502);
--- a/crates/dispatch/tests/cold.rs
+++ b/crates/dispatch/tests/cold.rs
@@ -156,7 +156,7 @@
                     }
                     _ => Change::EvacuationEnded(published::EvacuationEnd { zone, revision }),
                 };
-                picture.take_changes(NOW, Revision(0), revision, vec![change]);
+                picture.apply_changes(NOW, Revision(0), revision, vec![change]);
                 let entry = told_cold(0);
                 set.sync(NOW, std::iter::once(&entry), picture.evacuations());
             }
--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -31,7 +31,7 @@
     for name in zones {
         let value = Item::Evacuation(zone(name));
         let change = Change::Written(Entry { revision: Revision(1), value });
-        picture.take_changes(NOW, Revision(0), Revision(1), vec![change]);
+        picture.apply_changes(NOW, Revision(0), Revision(1), vec![change]);
     }
     picture.evacuations().clone()
 }
--- a/crates/gateway/src/ask/connect.rs
+++ b/crates/gateway/src/ask/connect.rs
@@ -6,7 +6,7 @@
 use crate::connection::Connection;
 use crate::host::Host;
 use domain::UpstreamId;
-use published::{Repeat, RunStart};
+use published::{Idempotency, RunStart};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -22,7 +22,11 @@
 
 /// A connection to an upstream that was chosen without being asked. Opened now, not for each
 /// candidate: that halved the connections that a fleet of 110 hosts opened under bursts.
-pub async fn connect(host: &Rc<Host>, upstream: &UpstreamId, repeat: Repeat) -> Option<Connection> {
+pub async fn connect(
+    host: &Rc<Host>,
+    upstream: &UpstreamId,
+    repeat: Idempotency,
+) -> Option<Connection> {
     let run = host.upstreams.borrow().run(upstream);
     let kept = host.pool.borrow_mut().take(upstream, run);
     match kept {
@@ -47,10 +51,10 @@
 
 /// Whether a connection was used so lately that it is taken to be alive without asking. Looked at
 /// again as a request leaves: the machine may have been suspended since the connection was chosen.
-pub fn is_trusted(connection: &Connection, repeat: Repeat) -> bool {
+pub fn is_trusted(connection: &Connection, repeat: Idempotency) -> bool {
     let trusted = match repeat {
-        Repeat::Idempotent => UNASKED_IDLE_REPEATABLE,
-        Repeat::AtMostOnce => UNASKED_IDLE,
+        Idempotency::Idempotent => UNASKED_IDLE_REPEATABLE,
+        Idempotency::AtMostOnce => UNASKED_IDLE,
     };
     connection.idle() < trusted
 }
--- a/crates/gateway/src/fleet_message.rs
+++ b/crates/gateway/src/fleet_message.rs
@@ -18,9 +18,9 @@
 
 /// Tells all hosts; the message differs for those that are to pass it on in their zone.
 pub fn tell_fleet(host: &Host, message: impl Fn(bool) -> Datagram) {
-    let listeners = host.gossip.borrow_mut().listeners(host.now_ms());
+    let recipients = host.gossip.borrow_mut().recipients(host.now_ms());
     for should_relay in [true, false] {
-        let told = listeners.iter().filter(|listener| listener.should_relay == should_relay);
+        let told = recipients.iter().filter(|recipient| recipient.should_relay == should_relay);
         let to: Vec<SocketAddr> = told.map(|&Recipient { address, .. }| address).collect();
         send(host, &message(should_relay), &to);
     }
@@ -28,8 +28,8 @@
 
 /// Passes a message on in this host's zone.
 pub fn pass_on(host: &Host, message: &Datagram) {
-    let neighbours = host.members().neighbours();
-    send(host, message, &neighbours);
+    let peers = host.members().local_zone_peers();
+    send(host, message, &peers);
 }
 
 /// Tells some peers, drawn at random.
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -164,7 +164,7 @@
 
     /// What is believed to be published.
     pub fn picture(&self) -> Ref<'_, PublishedState> {
-        Ref::map(self.gossip.borrow(), Gossip::picture)
+        Ref::map(self.gossip.borrow(), Gossip::published_state)
     }
 
     /// Hosts heard of.
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -19,7 +19,7 @@
 use clock::Moment;
 use dispatch::attempts::{Cause, Refusal};
 use domain::{ByteCount, Millis};
-use published::{CallerLimits, Repeat};
+use published::{CallerLimits, Idempotency};
 use render::{render, render_refusal};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -52,7 +52,7 @@
     request: Rc<Request>,
     progress: Rc<Progress>,
     task: JoinHandle<Reply>,
-    repeat: Repeat,
+    repeat: Idempotency,
 }
 
 impl Pending {
@@ -336,11 +336,11 @@
     fn begin(&mut self) -> bool {
         let Some(request) = self.whole.take() else { return false };
         let repeat = match request.head.is_reading() {
-            true => Repeat::Idempotent,
-            false => Repeat::AtMostOnce,
+            true => Idempotency::Idempotent,
+            false => Idempotency::AtMostOnce,
         };
-        let all_read = repeat == Repeat::Idempotent
-            && self.pending.iter().all(|pending| pending.repeat == Repeat::Idempotent);
+        let all_read = repeat == Idempotency::Idempotent
+            && self.pending.iter().all(|pending| pending.repeat == Idempotency::Idempotent);
         let may_begin = self.pending.is_empty() || all_read && self.pending.len() < MAX_PIPELINED;
         if !may_begin {
             self.whole = Some(request);
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -91,7 +91,7 @@
                 self.act(|gossip| gossip.join(&seeds));
                 next_join = (next_join * 2).min(LAST_JOINS);
             } else {
-                self.act(|gossip| gossip.greet(&seeds));
+                self.act(|gossip| gossip.send_hello(&seeds));
             }
             let jitter = self.host.rng.borrow_mut().random_range(GREETING_JITTER);
             clock::sleep(pause.mul_f64(jitter)).await;
@@ -99,7 +99,7 @@
     }
 
     fn is_being_told(&self) -> bool {
-        self.host.gossip.borrow().is_being_told(self.host.now_ms())
+        self.host.gossip.borrow().is_bootstrap_pending(self.host.now_ms())
     }
 
     fn is_settling(&self) -> bool {
@@ -139,16 +139,16 @@
         match codec::decode(datagram) {
             Ok(Datagram::Gossip(message)) => {
                 let now_ms = self.host.now_ms();
-                self.act(|gossip| gossip.take(now_ms, message, from));
+                self.act(|gossip| gossip.handle_message(now_ms, message, from));
             }
             Ok(Datagram::Quarantine(message)) => {
                 if quarantine::take(&self.host, message, from) {
-                    self.act(|gossip| gossip.answer(from));
+                    self.act(|gossip| gossip.acknowledge_relay(from));
                 }
             }
             Ok(Datagram::Backpressure(message)) => {
                 if backpressure::take(&self.host, message, from) {
-                    self.act(|gossip| gossip.answer(from));
+                    self.act(|gossip| gossip.acknowledge_relay(from));
                 }
             }
             Ok(Datagram::Placement(message)) => {
@@ -180,9 +180,11 @@
                 backpressure::note_peers(&self.host);
                 self.host.log.write(&LogEvent::PeersHeard { count, first, hosts });
             }
-            Effect::AnnounceJoined { delay_ms } => self.act_later(delay_ms, Gossip::announce),
+            Effect::AnnounceJoined { delay_ms } => {
+                self.act_later(delay_ms, Gossip::announce_joined)
+            }
             Effect::AnswerPendingJoins { delay_ms } => {
-                self.act_later(delay_ms, Gossip::answer_more)
+                self.act_later(delay_ms, Gossip::answer_pending_joins)
             }
             Effect::PeerRemoved(peer) => {
                 self.host.log.write(&LogEvent::PeerGone { peer: &peer, hosts });
@@ -221,7 +223,7 @@
             clock::sleep(duration(fetch.delay_ms)).await;
             let answer = fetch::fetch(&fetch).await;
             let now_ms = peers.host.now_ms();
-            peers.act(|gossip| gossip.take_told(now_ms, fetch, answer));
+            peers.act(|gossip| gossip.finish_fetch(now_ms, fetch, answer));
         });
     }
 
--- a/crates/gateway/src/peers/fetch.rs
+++ b/crates/gateway/src/peers/fetch.rs
@@ -66,7 +66,7 @@
     let mut request = Vec::new();
     (&mut stream).take(MAX_ASKED_BYTES).read_to_end(&mut request).await?;
     let request: FetchRequest = codec::decode(&request).map_err(std::io::Error::other)?;
-    let told = host.gossip.borrow().tell(host.now_ms(), request);
+    let told = host.gossip.borrow().reply_to_fetch(host.now_ms(), request);
     // A host that can't help closes the connection, and another is asked.
     let Some(told) = told else { return Ok(()) };
     let bytes = codec::encode(&told).map_err(std::io::Error::other)?;
--- a/crates/gateway/src/reading.rs
+++ b/crates/gateway/src/reading.rs
@@ -47,7 +47,7 @@
     /// Reads whenever it is due; never ends.
     pub async fn run(mut self) {
         loop {
-            if self.host.gossip.borrow().is_being_told(self.host.now_ms()) {
+            if self.host.gossip.borrow().is_bootstrap_pending(self.host.now_ms()) {
                 self.wait_until(self.host.now_ms() + OFFER_STEP_MS).await;
                 continue;
             }
@@ -57,7 +57,12 @@
             let step = {
                 let gossip = self.host.gossip.borrow();
                 let is_wanted = self.host.awaits_routing.get();
-                self.reader.step(self.host.now_ms(), gossip.members(), gossip.picture(), is_wanted)
+                self.reader.step(
+                    self.host.now_ms(),
+                    gossip.members(),
+                    gossip.published_state(),
+                    is_wanted,
+                )
             };
             self.note_part();
             self.note_hold();
@@ -91,7 +96,7 @@
 
     /// Others could not read either: this host leaves the source alone for a while.
     fn note_hold(&mut self) {
-        let held_until_ms = self.reader.held_until_ms();
+        let held_until_ms = self.reader.outage_retry_ms();
         let was_held = std::mem::replace(&mut self.was_held, held_until_ms.is_some());
         if let Some(until_ms) = held_until_ms.filter(|_| !was_held) {
             let now_ms = self.host.now_ms();
@@ -111,8 +116,8 @@
                 let now_ms = self.host.now_ms();
                 self.note_unreadable(&unreadable);
                 let is_enough = published::covers_services(&value);
-                self.peers.act(|gossip| gossip.take_page(now_ms, value));
-                self.reader.sampled(is_enough);
+                self.peers.act(|gossip| gossip.apply_partial_items(now_ms, value));
+                self.reader.sample_succeeded(is_enough);
             }
             Err(error) => self.note_failure(&error),
         }
@@ -121,7 +126,7 @@
     /// One call: all of a small source, and of a large one enough to serve until a peer tells
     /// the rest.
     async fn read_first(&mut self) {
-        self.host.gossip.borrow_mut().set_reading(true);
+        self.host.gossip.borrow_mut().set_initial_read(true);
         match self.source.read_first().await {
             Ok(Reading { value: Page { so_far, end: None }, unreadable }) => {
                 self.take_whole(Reading { value: so_far, unreadable });
@@ -129,9 +134,9 @@
             Ok(begun) => {
                 let now_ms = self.host.now_ms();
                 let items = begun.value.so_far.items.clone();
-                self.peers.act(|gossip| gossip.take_page(now_ms, items));
-                let reads_on = self.reader.began();
-                self.host.gossip.borrow_mut().set_reading(reads_on);
+                self.peers.act(|gossip| gossip.apply_partial_items(now_ms, items));
+                let reads_on = self.reader.first_page_succeeded();
+                self.host.gossip.borrow_mut().set_initial_read(reads_on);
                 self.begun = Some(begun);
             }
             Err(error) => self.note_failure(&error),
@@ -139,7 +144,7 @@
     }
 
     async fn read_whole(&mut self) {
-        self.host.gossip.borrow_mut().set_reading(true);
+        self.host.gossip.borrow_mut().set_initial_read(true);
         let reading = match self.begun.take() {
             Some(begun) => self.source.read_rest(begun).await,
             None => self.source.read_whole().await,
@@ -154,7 +159,7 @@
         let now_ms = self.host.now_ms();
         self.note_unreadable(&reading.unreadable);
         self.note_success(now_ms, reading.value.revision);
-        self.peers.act(|gossip| gossip.take_whole(now_ms, reading.value));
+        self.peers.act(|gossip| gossip.apply_snapshot(now_ms, reading.value));
         self.reader.succeeded(now_ms, true);
     }
 
@@ -172,7 +177,7 @@
         let Changes { revision, changes } = reading.value;
         self.note_success(now_ms, revision);
         self.reader.succeeded(now_ms, !changes.is_empty());
-        self.peers.act(|gossip| gossip.take_changes(now_ms, after, revision, &changes));
+        self.peers.act(|gossip| gossip.apply_changes(now_ms, after, revision, &changes));
     }
 
     fn note_unreadable(&self, unreadable: &[Unreadable]) {
@@ -209,11 +214,11 @@
     fn note_failure(&mut self, error: &SourceError) {
         let now_ms = self.host.now_ms();
         if *error == SourceError::HistoryGone {
-            self.reader.needs_whole();
+            self.reader.require_snapshot();
             return;
         }
         self.reader.failed(now_ms);
-        self.peers.act(|gossip| gossip.tell_unread(now_ms));
+        self.peers.act(|gossip| gossip.broadcast_read_failure(now_ms));
         if self.lost_ms.is_none() {
             self.lost_ms = Some(now_ms);
             let picture_age_ms = self.host.picture_age_ms();
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -19,7 +19,7 @@
 use crate::source::Source;
 use domain::{Incarnation, Millis};
 use error_stack::{Report, ResultExt};
-use published::{Gossip, Member, Reader, Start};
+use published::{Gossip, Member, Reader, StartConditions};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::fmt;
@@ -159,7 +159,7 @@
         let is_seed = settings.seeds.contains(&settings.peers.ip());
         let is_other = |seed: &&IpAddr| **seed != settings.peers.ip();
         let other_seeds = settings.seeds.iter().filter(is_other).count();
-        let start = Start {
+        let start = StartConditions {
             is_seed,
             is_first: settings.is_first_start,
             other_seeds,
@@ -250,7 +250,7 @@
     let mut round: u32 = 0;
     // A machine that is suspended right after the start is known to have been awake before.
     host.note_awake();
-    peers.act(|gossip| gossip.settle(host.now_ms()));
+    peers.act(|gossip| gossip.expire(host.now_ms()));
     loop {
         let begun_ms = host.now_ms();
         let is_told = tokio::select! {
@@ -270,7 +270,7 @@
                 }
             }
         }
-        peers.act(|gossip| gossip.settle(now_ms));
+        peers.act(|gossip| gossip.expire(now_ms));
         placing::note_order(&host);
         placing::turn(&host);
         quarantine::turn(&host);
--- a/crates/gateway/src/serve/finding.rs
+++ b/crates/gateway/src/serve/finding.rs
@@ -63,14 +63,14 @@
             let Some(mut found) = found else { break };
             let connection = match found.connection.take() {
                 Some(connection) => Some(connection),
-                None => ask::connect(&self.host, &found.upstream, self.route().repeat).await,
+                None => ask::connect(&self.host, &found.upstream, self.route().idempotency).await,
             };
             if self.host.now_ms().since(begun_ms) > STALE_CHOICE_MS {
                 self.check_caller().await;
             }
             match connection {
                 Some(connection) if self.may_send(&found) => {
-                    if ask::is_trusted(&connection, self.route().repeat) {
+                    if ask::is_trusted(&connection, self.route().idempotency) {
                         return Ok((found, connection));
                     }
                     self.host.pool.borrow_mut().put(&found.upstream, connection);
--- a/crates/gateway/src/serve/sending.rs
+++ b/crates/gateway/src/serve/sending.rs
@@ -14,7 +14,7 @@
 use dispatch::backpressure::Backpressure;
 use dispatch::scheduler::Outcome;
 use domain::{Millis, UpstreamId};
-use published::{Repeat, Route};
+use published::{Idempotency, Route};
 
 /// A request that is about to leave for an upstream.
 struct Sending {
@@ -115,7 +115,7 @@
         counts.arrived += 1;
         counts.tried.push(found.upstream.clone());
         self.progress.sendings.set(counts.sent);
-        self.progress.runs_on.set(self.route().repeat == Repeat::AtMostOnce);
+        self.progress.runs_on.set(self.route().idempotency == Idempotency::AtMostOnce);
         self.note_begin(&found, now_ms, counts.sent);
         if found.held.is_none() {
             self.host.note_sent_rated(&found.upstream);
--- a/crates/gateway/src/serve/settling.rs
+++ b/crates/gateway/src/serve/settling.rs
@@ -46,7 +46,7 @@
         self.note_failure(&ended, now_ms);
         let needs_repeat = counts.arrived > 0;
         let state = AttemptState {
-            repeat: self.route().repeat,
+            repeat: self.route().idempotency,
             may_have_run: counts.may_have_run(),
             sent: counts.sent,
             attempts: self.route().attempts,
--- a/crates/gateway/tests/datagram_bytes.rs
+++ b/crates/gateway/tests/datagram_bytes.rs
@@ -15,9 +15,9 @@
 use gateway::peers::codec::{Datagram, decode, encode};
 use published::{
     Bootstrap, BootstrapSnapshot, CallerLimits, Capacity, CatchUp, Change, Destination, Entry,
-    EvacuationEnd, FetchReply, FetchRequest, HelloKind, Item, JoinReply, KnownRevisions, Member,
-    Message, Removal, RemovalCause, Repeat, Revision, Route, Routing, RoutingPatch, RunStart,
-    ServiceSettings, Snapshot, StateUpdate, Upstream, UpstreamMode,
+    EvacuationEnd, FetchReply, FetchRequest, HelloKind, Idempotency, Item, JoinReply,
+    KnownRevisions, Member, Message, Removal, RemovalCause, Revision, Route, Routing, RoutingPatch,
+    RunStart, ServiceSettings, Snapshot, StateUpdate, Upstream, UpstreamMode,
 };
 use rstest::rstest;
 use serde::Serialize;
@@ -85,7 +85,7 @@
         name: "search".to_owned(),
         host: "shop.example".to_owned(),
         prefix: "/search/".to_owned(),
-        repeat: Repeat::Idempotent,
+        idempotency: Idempotency::Idempotent,
         objective_ms: Millis(400),
         timeout_ms: Millis(2_500),
         attempts: 3,
@@ -102,7 +102,7 @@
         name: "orders".to_owned(),
         host: "pay.example".to_owned(),
         prefix: "/orders/".to_owned(),
-        repeat: Repeat::AtMostOnce,
+        idempotency: Idempotency::AtMostOnce,
         objective_ms: Millis(800),
         timeout_ms: Millis(5_000),
         attempts: 2,
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -12,8 +12,8 @@
 use gateway::run::{Gateway, Reload};
 use gateway::settings::{FleetLimits, Settings};
 use published::{
-    CallerLimits, Capacity, Destination, Item, Repeat, Route, Routing, RunStart, ServiceSettings,
-    Upstream, UpstreamMode,
+    CallerLimits, Capacity, Destination, Idempotency, Item, Route, Routing, RunStart,
+    ServiceSettings, Upstream, UpstreamMode,
 };
 use source::{Published, StandInSource};
 use std::net::SocketAddr;
@@ -36,11 +36,11 @@
 
 /// Routes: `/once/` must not run twice, `/any/` may.
 pub fn routing(version: u64) -> Routing {
-    let route = |name: &str, repeat| Route {
+    let route = |name: &str, idempotency| Route {
         name: name.to_owned(),
         host: "a.example".to_owned(),
         prefix: format!("/{name}/"),
-        repeat,
+        idempotency,
         objective_ms: Millis(400),
         timeout_ms: Millis(1_200),
         attempts: 2,
@@ -55,7 +55,7 @@
             head_timeout_ms: Millis(500),
             idle_timeout_ms: Millis(5_000),
         },
-        routes: vec![route("any", Repeat::Idempotent), route("once", Repeat::AtMostOnce)],
+        routes: vec![route("any", Idempotency::Idempotent), route("once", Idempotency::AtMostOnce)],
         services: vec![ServiceSettings {
             name: service(),
             health_path: "/healthz".to_owned(),
--- a/crates/published/src/evacuation.rs
+++ b/crates/published/src/evacuation.rs
@@ -79,7 +79,7 @@
     }
 
     /// Forgets ends that are older than `age_ms`; the last revision that was forgotten.
-    pub(crate) fn forget(&mut self, now_ms: Millis, age_ms: Millis) -> Revision {
+    pub(crate) fn expire(&mut self, now_ms: Millis, age_ms: Millis) -> Revision {
         let is_old = |ended: &Ended| now_ms.since(ended.since_ms) >= age_ms;
         let old = self.ended.values().filter(|ended| is_old(ended));
         let last = old.map(|ended| ended.revision).max().unwrap_or_default();
--- a/crates/published/src/gossip.rs
+++ b/crates/published/src/gossip.rs
@@ -71,18 +71,18 @@
     }
 
     /// What is believed to be published.
-    pub fn picture(&self) -> &PublishedState {
+    pub fn published_state(&self) -> &PublishedState {
         &self.picture
     }
 
     /// Whether a first picture was offered and is on its way.
-    pub fn is_being_told(&self, now_ms: Millis) -> bool {
+    pub fn is_bootstrap_pending(&self, now_ms: Millis) -> bool {
         now_ms < self.promised_until_ms && self.picture.confirmed_ms().is_none()
     }
 
     /// Greets one peer, or one of the seeds: what was lost of the others' lists is made up for.
-    pub fn greet(&mut self, seeds: &[SocketAddr]) -> Vec<Effect> {
-        let near = self.members.neighbours();
+    pub fn send_hello(&mut self, seeds: &[SocketAddr]) -> Vec<Effect> {
+        let near = self.members.local_zone_peers();
         let to = match self.rng.random::<f64>() {
             drawn if drawn < SEED_GREETINGS => seeds.choose(&mut self.rng).copied(),
             drawn if drawn < SEED_GREETINGS + NEAR_GREETINGS => near.choose(&mut self.rng).copied(),
@@ -95,53 +95,53 @@
     }
 
     /// Takes a whole reading of its own, and tells the fleet.
-    pub fn take_whole(&mut self, now_ms: Millis, whole: Snapshot) -> Vec<Effect> {
+    pub fn apply_snapshot(&mut self, now_ms: Millis, whole: Snapshot) -> Vec<Effect> {
         let before = self.picture.revision();
-        let state_changes = self.picture.take_whole(now_ms, whole);
+        let state_changes = self.picture.apply_snapshot(now_ms, whole);
         // Told without the changes, peers that hold less find a gap and fetch.
         let after = if state_changes.is_empty() { before } else { self.picture.revision() };
         let mut effects = vec![Effect::StateUpdated { state_changes, from: Origin::Source }];
-        self.set_reading(false);
+        self.set_initial_read(false);
         self.answer_waiting(now_ms, &mut effects);
         self.tell_news(now_ms, after, Vec::new(), &mut effects);
         effects
     }
 
     /// Takes the changes that it read itself, and tells the fleet.
-    pub fn take_changes(
+    pub fn apply_changes(
         &mut self,
         now_ms: Millis,
         after: Revision,
         revision: Revision,
         changes: &[Change],
     ) -> Vec<Effect> {
-        let told = self.picture.patched(changes);
-        let (state_changes, _) = self.picture.take_changes(now_ms, after, revision, told.clone());
+        let told = self.picture.with_routing_patches(changes);
+        let (state_changes, _) = self.picture.apply_changes(now_ms, after, revision, told.clone());
         let mut effects = vec![Effect::StateUpdated { state_changes, from: Origin::Source }];
         self.tell_news(now_ms, after, told, &mut effects);
         effects
     }
 
     /// Tells the fleet that this host could not read.
-    pub fn tell_unread(&mut self, now_ms: Millis) -> Vec<Effect> {
+    pub fn broadcast_read_failure(&mut self, now_ms: Millis) -> Vec<Effect> {
         let reader = self.members.own().clone();
         let mut effects = Vec::new();
-        self.set_reading(false);
+        self.set_initial_read(false);
         let unread = |should_relay| Message::ReadFailed { reader: reader.clone(), should_relay };
         self.tell_fleet(now_ms, unread, &mut effects);
         effects
     }
 
     /// Whom to tell what all hosts are to hear.
-    pub fn listeners(&mut self, now_ms: Millis) -> Vec<Recipient> {
+    pub fn recipients(&mut self, now_ms: Millis) -> Vec<Recipient> {
         match self.is_leaving {
             true => Vec::new(),
-            false => self.members.listeners(now_ms),
+            false => self.members.recipients(now_ms),
         }
     }
 
     /// Shows a peer whose message is passed on that this host is there.
-    pub fn answer(&self, to: SocketAddr) -> Vec<Effect> {
+    pub fn acknowledge_relay(&self, to: SocketAddr) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.send(self.hello(HelloKind::Alive), vec![to], &mut effects);
         effects
@@ -159,13 +159,13 @@
     }
 
     /// Drops what time has settled: lapsed entries, and hosts that were silent for long.
-    pub fn settle(&mut self, now_ms: Millis) -> Vec<Effect> {
+    pub fn expire(&mut self, now_ms: Millis) -> Vec<Effect> {
         let mut effects = Vec::new();
-        let state_changes = self.picture.settle(now_ms);
+        let state_changes = self.picture.expire(now_ms);
         if !state_changes.is_empty() {
             effects.push(Effect::StateUpdated { state_changes, from: Origin::Expiry });
         }
-        effects.extend(self.members.forget(now_ms).into_iter().map(Effect::PeerRemoved));
+        effects.extend(self.members.expire(now_ms).into_iter().map(Effect::PeerRemoved));
         if self.picture.is_partial() {
             self.fetch_from_any(now_ms, &mut effects);
         }
@@ -173,7 +173,12 @@
     }
 
     /// Takes a peer's message.
-    pub fn take(&mut self, now_ms: Millis, message: Message, sender: SocketAddr) -> Vec<Effect> {
+    pub fn handle_message(
+        &mut self,
+        now_ms: Millis,
+        message: Message,
+        sender: SocketAddr,
+    ) -> Vec<Effect> {
         let mut effects = Vec::new();
         match message {
             Message::Join { from, is_redirected } => {
@@ -193,7 +198,7 @@
                 self.take_unread(now_ms, reader, should_relay, sender, &mut effects);
             }
             Message::Leave { host, incarnation } => {
-                if self.members.leave(now_ms, &host, incarnation) {
+                if self.members.remove_leaving(now_ms, &host, incarnation) {
                     effects.push(Effect::PeerRemoved(host));
                 }
             }
@@ -202,7 +207,7 @@
     }
 
     /// What a peer lacks; none before this host holds what is wanted.
-    pub fn tell(&self, now_ms: Millis, request: FetchRequest) -> Option<FetchReply> {
+    pub fn reply_to_fetch(&self, now_ms: Millis, request: FetchRequest) -> Option<FetchReply> {
         let age_ms = self.picture.age_ms(now_ms)?;
         let is_help = self.picture.revision() >= request.min_revision;
         let knows_more = request.members_digest != self.members.digest();
@@ -214,7 +219,7 @@
     }
 
     /// Takes the answer to a fetch, if one came; then passes on what was waiting for it.
-    pub fn take_told(
+    pub fn finish_fetch(
         &mut self,
         now_ms: Millis,
         fetch: Fetch,
--- a/crates/published/src/gossip/effect.rs
+++ b/crates/published/src/gossip/effect.rs
@@ -16,7 +16,7 @@
         /// To whom.
         to: Vec<SocketAddr>,
     },
-    /// Ask for what is missing, then hand it to [`Gossip::take_told`].
+    /// Ask for what is missing, then hand it to [`Gossip::finish_fetch`].
     Fetch(Fetch),
     /// Something else is believed, or the same was confirmed.
     StateUpdated {
@@ -36,12 +36,12 @@
     },
     /// Hosts were heard of for the first time, or in a new run.
     PeersDiscovered(Vec<HostId>),
-    /// Have more hosts answered that join, by [`Gossip::answer_more`], after this time.
+    /// Have more hosts answered that join, by [`Gossip::answer_pending_joins`], after this time.
     AnswerPendingJoins {
         /// The time.
         delay_ms: Millis,
     },
-    /// Have those logged and announced that joined, by [`Gossip::announce`], after this time.
+    /// Have those logged and announced that joined, by [`Gossip::announce_joined`], after this time.
     AnnounceJoined {
         /// The time.
         delay_ms: Millis,
--- a/crates/published/src/gossip/joining.rs
+++ b/crates/published/src/gossip/joining.rs
@@ -92,7 +92,7 @@
     pub fn is_joining(&self, now_ms: Millis) -> bool {
         match self.picture.confirmed_ms() {
             Some(_) => self.members.count() <= 1,
-            None => !(self.picture.is_partial() && self.is_being_told(now_ms)),
+            None => !(self.picture.is_partial() && self.is_bootstrap_pending(now_ms)),
         }
     }
 
@@ -112,8 +112,8 @@
     }
 
     /// Takes the beginning of a whole reading of its own: enough to serve, and to help others to.
-    pub fn take_page(&mut self, now_ms: Millis, items: Vec<Entry<Item>>) -> Vec<Effect> {
-        let state_changes = self.picture.take_items(items);
+    pub fn apply_partial_items(&mut self, now_ms: Millis, items: Vec<Entry<Item>>) -> Vec<Effect> {
+        let state_changes = self.picture.apply_items(items);
         let mut effects = vec![Effect::StateUpdated { state_changes, from: Origin::Source }];
         if self.picture.is_partial() {
             self.answer_waiting(now_ms, &mut effects);
@@ -129,9 +129,9 @@
     ) {
         let JoinReply { from, host_count, bootstrap } = reply;
         let teller = from.host.clone();
-        self.note(now_ms, from, effects);
-        self.members.note_answer(&teller);
-        self.members.note_fleet(now_ms, host_count);
+        self.record(now_ms, from, effects);
+        self.members.record_response(&teller);
+        self.members.record_fleet_size(now_ms, host_count);
         if self.picture.confirmed_ms().is_some() {
             return;
         }
@@ -143,15 +143,17 @@
                 let from = self.members.own().clone();
                 self.send(Message::Join { from, is_redirected: true }, vec![to], effects);
             }
-            Bootstrap::Complete(snapshot) => self.take_bootstrap(now_ms, teller, snapshot, effects),
+            Bootstrap::Complete(snapshot) => {
+                self.apply_bootstrap(now_ms, teller, snapshot, effects)
+            }
             // Two that read and tell each other what they have so far must not both wait.
             Bootstrap::Partial { snapshot, .. } if self.joins.is_reading() => {
-                self.take_bootstrap(now_ms, teller, snapshot, effects);
+                self.apply_bootstrap(now_ms, teller, snapshot, effects);
             }
             Bootstrap::Partial { snapshot, rest_from, after_ms } => {
                 self.promise(now_ms, REST_MS);
                 let wanted = snapshot.revision;
-                self.take_bootstrap(now_ms, teller, snapshot, effects);
+                self.apply_bootstrap(now_ms, teller, snapshot, effects);
                 self.fetch_rest(now_ms, wanted, (rest_from, after_ms), effects);
             }
         }
@@ -164,14 +166,14 @@
         self.promised_until_ms = self.promised_until_ms.max(until_ms);
     }
 
-    fn take_bootstrap(
+    fn apply_bootstrap(
         &mut self,
         now_ms: Millis,
         teller: HostId,
         snapshot: BootstrapSnapshot,
         effects: &mut Vec<Effect>,
     ) {
-        let state_changes = self.picture.take_bootstrap(now_ms - snapshot.age_ms, snapshot);
+        let state_changes = self.picture.apply_bootstrap(now_ms - snapshot.age_ms, snapshot);
         effects.push(Effect::StateUpdated { state_changes, from: Origin::Peer(teller) });
         if self.picture.can_bootstrap() {
             self.answer_waiting(now_ms, effects);
@@ -196,7 +198,7 @@
         if self.is_fetching {
             return;
         }
-        let (known, members_digest) = (self.picture.held(), self.members.digest());
+        let (known, members_digest) = (self.picture.known_revisions(), self.members.digest());
         let request = FetchRequest { known, min_revision, members_digest };
         let fetch = Fetch { from, request, delay_ms, begun_ms: now_ms, pending_update: None };
         self.begin_fetch(now_ms, fetch, effects);
--- a/crates/published/src/gossip/joining/answering.rs
+++ b/crates/published/src/gossip/joining/answering.rs
@@ -139,12 +139,12 @@
 impl Gossip {
     /// Whether the source is being read here for a first picture: who joins may wait for it, and
     /// this host waits for nobody.
-    pub fn set_reading(&mut self, is_reading: bool) {
+    pub fn set_initial_read(&mut self, is_reading: bool) {
         self.joins.is_reading = is_reading;
     }
 
     /// Tells the fleet of those that joined through this host.
-    pub fn announce(&mut self, now_ms: Millis) -> Vec<Effect> {
+    pub fn announce_joined(&mut self, now_ms: Millis) -> Vec<Effect> {
         let heard = std::mem::take(&mut self.joins.heard);
         let mut effects = vec![Effect::PeersDiscovered(heard)];
         let members = std::mem::take(&mut self.joins.unannounced);
@@ -162,7 +162,7 @@
         is_redirected: bool,
         effects: &mut Vec<Effect>,
     ) {
-        if self.members.note(now_ms, member.clone()) {
+        if self.members.record(now_ms, member.clone()) {
             if self.joins.heard.is_empty() {
                 effects.push(Effect::AnnounceJoined { delay_ms: ANNOUNCE_AFTER_MS });
             }
@@ -211,7 +211,7 @@
     }
 
     /// Answers the next of those that wait.
-    pub fn answer_more(&mut self, now_ms: Millis) -> Vec<Effect> {
+    pub fn answer_pending_joins(&mut self, now_ms: Millis) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.joins.is_answering = false;
         self.answer_waiting(now_ms, &mut effects);
--- a/crates/published/src/gossip/receiving.rs
+++ b/crates/published/src/gossip/receiving.rs
@@ -31,9 +31,9 @@
         let is_full = matches!(told.catch_up, CatchUp::Snapshot(_));
         effects.push(Effect::FetchEnded { from: from.clone(), revision, is_full });
         // What is missing still shows at the next news.
-        let (state_changes, _) = self.picture.take_catch_up(now_ms - told.age_ms, told.catch_up);
+        let (state_changes, _) = self.picture.apply_catch_up(now_ms - told.age_ms, told.catch_up);
         effects.push(Effect::StateUpdated { state_changes, from });
-        self.note_all(now_ms, told.members, effects);
+        self.record_all(now_ms, told.members, effects);
         if self.picture.confirmed_ms().is_some() {
             self.answer_waiting(now_ms, effects);
         }
@@ -48,8 +48,8 @@
         effects: &mut Vec<Effect>,
     ) {
         let host = from.host.clone();
-        self.note(now_ms, from, effects);
-        self.members.note_answer(&host);
+        self.record(now_ms, from, effects);
+        self.members.record_response(&host);
         let knows_others = members_digest != self.members.digest();
         match kind {
             HelloKind::Request if knows_others => {
@@ -71,7 +71,7 @@
         effects: &mut Vec<Effect>,
     ) {
         self.joins.note_announced(&members);
-        self.note_all(now_ms, members.clone(), effects);
+        self.record_all(now_ms, members.clone(), effects);
         if should_relay {
             self.send(self.hello(HelloKind::Alive), vec![teller], effects);
             self.pass_on(Message::Members { members, should_relay: false }, effects);
@@ -86,11 +86,11 @@
         teller: SocketAddr,
         effects: &mut Vec<Effect>,
     ) {
-        self.note(now_ms, update.reader.clone(), effects);
+        self.record(now_ms, update.reader.clone(), effects);
         self.promise(now_ms, OFFER_MS);
         // Only a host that reads tells changes, even none; one that offers tells none.
         if update.changes.is_some() {
-            self.members.note_reader(now_ms, &update.reader.host);
+            self.members.record_read(now_ms, &update.reader.host);
         }
         if should_relay {
             self.send(self.hello(HelloKind::Alive), vec![teller], effects);
@@ -98,7 +98,7 @@
         let is_gapless = self.take_told_changes(now_ms, &update, effects);
         let differs =
             self.picture.revision() == update.revision && self.picture.digest() != update.digest;
-        let known = self.picture.held();
+        let known = self.picture.known_revisions();
         let (min_revision, members_digest) = (update.revision, self.members.digest());
         match is_gapless {
             false => {
@@ -109,7 +109,7 @@
             true => {
                 if differs {
                     let request = FetchRequest {
-                        known: known.without_entries(),
+                        known: known.without_upstreams(),
                         min_revision,
                         members_digest,
                     };
@@ -135,7 +135,7 @@
         let is_complete = update.after <= held && update.after <= update.revision;
         let revision = if is_complete { update.revision } else { held };
         let (state_changes, is_gapless) =
-            self.picture.take_changes(at_ms, update.after, revision, changes);
+            self.picture.apply_changes(at_ms, update.after, revision, changes);
         effects.push(Effect::StateUpdated {
             state_changes,
             from: Origin::Peer(update.reader.host.clone()),
@@ -151,8 +151,8 @@
         teller: SocketAddr,
         effects: &mut Vec<Effect>,
     ) {
-        self.note(now_ms, reader.clone(), effects);
-        self.members.note_failed_reader(now_ms, &reader.host);
+        self.record(now_ms, reader.clone(), effects);
+        self.members.record_failed_read(now_ms, &reader.host);
         if should_relay {
             self.send(self.hello(HelloKind::Alive), vec![teller], effects);
             self.pass_on(Message::ReadFailed { reader, should_relay: false }, effects);
@@ -190,7 +190,7 @@
     /// few at once what is large. For a first picture neighbours come first: they have the
     /// same, and their bytes are not paid for.
     pub(super) fn tellers(&mut self, teller: SocketAddr) -> Vec<SocketAddr> {
-        let mut neighbours = self.members.neighbours();
+        let mut neighbours = self.members.local_zone_peers();
         let (near, _) = neighbours.partial_shuffle(&mut self.rng, MOST_NEIGHBOURS);
         let near = near.iter().copied().filter(|&address| address != teller);
         match self.picture.confirmed_ms() {
@@ -199,15 +199,15 @@
         }
     }
 
-    pub(super) fn note(&mut self, now_ms: Millis, member: Member, effects: &mut Vec<Effect>) {
-        self.note_all(now_ms, vec![member], effects);
+    pub(super) fn record(&mut self, now_ms: Millis, member: Member, effects: &mut Vec<Effect>) {
+        self.record_all(now_ms, vec![member], effects);
     }
 
-    fn note_all(&mut self, now_ms: Millis, members: Vec<Member>, effects: &mut Vec<Effect>) {
+    fn record_all(&mut self, now_ms: Millis, members: Vec<Member>, effects: &mut Vec<Effect>) {
         let mut heard = Vec::new();
         for member in members {
             let peer = member.host.clone();
-            if self.members.note(now_ms, member) {
+            if self.members.record(now_ms, member) {
                 heard.push(peer);
             }
         }
--- a/crates/published/src/gossip/sending.rs
+++ b/crates/published/src/gossip/sending.rs
@@ -60,7 +60,7 @@
         message: impl Fn(bool) -> Message,
         effects: &mut Vec<Effect>,
     ) {
-        let listeners = self.members.listeners(now_ms);
+        let listeners = self.members.recipients(now_ms);
         for should_relay in [true, false] {
             let told = listeners.iter().filter(|listener| listener.should_relay == should_relay);
             let to = told.map(|&Recipient { address, .. }| address).collect();
@@ -74,8 +74,8 @@
 
     /// Tells the other hosts of this zone what a host of another zone told.
     pub(super) fn pass_on(&self, message: Message, effects: &mut Vec<Effect>) {
-        let neighbours = self.members.neighbours().into_iter();
-        let to = neighbours.chain(self.members.leaving_neighbours()).collect();
+        let neighbours = self.members.local_zone_peers().into_iter();
+        let to = neighbours.chain(self.members.leaving_local_zone_peers()).collect();
         self.send(message, to, effects);
     }
 
--- a/crates/published/src/lib.rs
+++ b/crates/published/src/lib.rs
@@ -29,13 +29,17 @@
 };
 pub use members::{Capacity, Member, Members, Recipient};
 pub use patch::RoutingPatch;
-pub use preference::{Preferred, preferred};
-pub use reading::{READERS, ReadStep, Reader, Start, WATCH_MS, covers_services};
+pub use preference::{PreferredCounts, preferred_upstreams};
+pub use reading::{
+    ACTIVE_READERS, LONG_POLL_MS, ReadStep, Reader, StartConditions, covers_services,
+};
 pub use routing::{
-    CallerLimits, Destination, MatchedRoute, Repeat, Route, RouteTable, Routing, ServiceSettings,
+    CallerLimits, Destination, Idempotency, MatchedRoute, Route, RouteTable, Routing,
+    ServiceSettings,
 };
 pub use state::{
-    AWAY_MS, BootstrapSnapshot, CatchUp, KnownRevisions, PublishedState, RETURN_GRACE_MS,
+    BootstrapSnapshot, CatchUp, KnownRevisions, PublishedState, REREGISTRATION_GRACE_MS,
+    SOURCE_OUTAGE_MS,
 };
 pub use state_change::StateChange;
 pub use upstream::{Eligibility, RunStart, Upstream, UpstreamMode};
--- a/crates/published/src/members.rs
+++ b/crates/published/src/members.rs
@@ -154,7 +154,7 @@
     }
 
     /// Another said how many hosts it knows. That counts until their list is here.
-    pub fn note_fleet(&mut self, now_ms: Millis, hosts: u32) {
+    pub fn record_fleet_size(&mut self, now_ms: Millis, hosts: u32) {
         if hosts >= self.told.hosts {
             self.told = ToldFleet { hosts, at_ms: now_ms };
         }
@@ -171,7 +171,7 @@
     }
 
     /// Takes what a host says of itself, or what another says of it; true if that was news.
-    pub fn note(&mut self, now_ms: Millis, member: Member) -> bool {
+    pub fn record(&mut self, now_ms: Millis, member: Member) -> bool {
         if member.host == self.own.host {
             return false;
         }
@@ -222,7 +222,7 @@
     }
 
     /// A host spoke itself: it is there.
-    pub fn note_answer(&mut self, host: &HostId) {
+    pub fn record_response(&mut self, host: &HostId) {
         if let Some(known) = self.others.get_mut(host) {
             known.asked_ms = None;
         }
@@ -234,7 +234,7 @@
     }
 
     /// Notes that a host just told what it read.
-    pub fn note_reader(&mut self, now_ms: Millis, host: &HostId) {
+    pub fn record_read(&mut self, now_ms: Millis, host: &HostId) {
         if let Some(known) = self.others.get_mut(host) {
             known.heard_ms = now_ms;
             known.read_ms = Some(now_ms);
@@ -243,7 +243,7 @@
     }
 
     /// Notes that a host just told that it could not read.
-    pub fn note_failed_reader(&mut self, now_ms: Millis, host: &HostId) {
+    pub fn record_failed_read(&mut self, now_ms: Millis, host: &HostId) {
         if let Some(known) = self.others.get_mut(host) {
             known.heard_ms = now_ms;
             known.failed_ms = Some(now_ms);
@@ -260,7 +260,12 @@
     }
 
     /// Drops a run of a host that said farewell.
-    pub fn leave(&mut self, now_ms: Millis, host: &HostId, incarnation: Incarnation) -> bool {
+    pub fn remove_leaving(
+        &mut self,
+        now_ms: Millis,
+        host: &HostId,
+        incarnation: Incarnation,
+    ) -> bool {
         let is_it =
             |known: &Known| known.member.host == *host && known.member.incarnation <= incarnation;
         if !self.others.get(host).is_some_and(is_it) {
@@ -277,7 +282,7 @@
     ///
     /// Nobody is heard while this host itself stands still. To forget them all for that would let
     /// it spend the fleet's budgets alone.
-    pub fn forget(&mut self, now_ms: Millis) -> Vec<HostId> {
+    pub fn expire(&mut self, now_ms: Millis) -> Vec<HostId> {
         let still_ms = self.wakefulness.note(now_ms);
         self.others.values_mut().for_each(|known| known.heard_ms = known.heard_ms + still_ms);
         self.leaving.retain(|_, (_, left_ms)| now_ms.since(*left_ms) < LEAVING_MS);
@@ -310,7 +315,7 @@
     }
 
     /// How many of those just told what they read.
-    pub fn better_readers(&self, now_ms: Millis) -> usize {
+    pub fn active_preferred_readers(&self, now_ms: Millis) -> usize {
         let reads = |known: &&Known| {
             known.read_ms.is_some_and(|at_ms| now_ms.since(at_ms) < READER_SILENT_MS)
         };
--- a/crates/published/src/members/recipients.rs
+++ b/crates/published/src/members/recipients.rs
@@ -30,7 +30,7 @@
 
 impl Members {
     /// Whom a reader tells.
-    pub fn listeners(&mut self, now_ms: Millis) -> Vec<Recipient> {
+    pub fn recipients(&mut self, now_ms: Millis) -> Vec<Recipient> {
         let own_zone = self.own.availability_zone.clone();
         let mut zones: FastMap<ZoneName, Vec<&mut Known>> = FastMap::default();
         for known in self.others.values_mut() {
@@ -41,19 +41,19 @@
             false => tell_zone(now_ms, hosts),
         };
         let told: Vec<Recipient> = zones.into_iter().flat_map(tell).collect();
-        let leaving = self.leaving_neighbours();
+        let leaving = self.leaving_local_zone_peers();
         let leaving = leaving.map(|address| Recipient { address, should_relay: false });
         told.into_iter().chain(leaving).collect()
     }
 
     /// Hosts of this host's availability zone that said farewell and serve on for a while.
-    pub fn leaving_neighbours(&self) -> impl Iterator<Item = SocketAddr> {
+    pub fn leaving_local_zone_peers(&self) -> impl Iterator<Item = SocketAddr> {
         let near = self.leaving.values().filter(|(member, _)| self.is_near(member));
         near.map(|(member, _)| member.address)
     }
 
     /// The other hosts of this host's availability zone.
-    pub fn neighbours(&self) -> Vec<SocketAddr> {
+    pub fn local_zone_peers(&self) -> Vec<SocketAddr> {
         let near = self.others().filter(|member| self.is_near(member));
         near.map(|member| member.address).collect()
     }
--- a/crates/published/src/preference.rs
+++ b/crates/published/src/preference.rs
@@ -11,19 +11,19 @@
 
 /// How many upstreams of a service a host prefers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Preferred {
+pub struct PreferredCounts {
     /// Of its own availability zone.
-    pub near: usize,
+    pub local_zone: usize,
     /// Of all others together.
-    pub far: usize,
+    pub other_zones: usize,
 }
 
 /// What a host prefers of the upstreams of one service, the most preferred first; those of its
 /// own availability zone before the rest. What its own zone lacks is made up for by others.
-pub fn preferred<'u>(
+pub fn preferred_upstreams<'u>(
     host: &HostId,
     zone: &ZoneName,
-    most: Preferred,
+    most: PreferredCounts,
     upstreams: impl Iterator<Item = &'u Upstream>,
 ) -> Vec<&'u Upstream> {
     let weight =
@@ -34,7 +34,7 @@
     for part in [&mut near, &mut far] {
         part.sort_by(|a, b| (a.0, &a.1.id).cmp(&(b.0, &b.1.id)));
     }
-    let most_far = most.far + most.near.saturating_sub(near.len());
-    let chosen = near.into_iter().take(most.near).chain(far.into_iter().take(most_far));
+    let most_far = most.other_zones + most.local_zone.saturating_sub(near.len());
+    let chosen = near.into_iter().take(most.local_zone).chain(far.into_iter().take(most_far));
     chosen.map(|(_, upstream)| upstream).collect()
 }
--- a/crates/published/src/reading.rs
+++ b/crates/published/src/reading.rs
@@ -9,7 +9,7 @@
 
 mod start;
 
-pub use start::{Start, covers_services};
+pub use start::{StartConditions, covers_services};
 
 use crate::{Members, PublishedState};
 use domain::Millis;
@@ -19,11 +19,11 @@
 
 /// Hosts that read for all. A second one, so that the loss of one is no gap, cost 0.6% of
 /// a quiet day in calls and bytes; the gap stays within the bound without it.
-pub const READERS: usize = 1;
+pub const ACTIVE_READERS: usize = 1;
 
 /// How long a reader waits at the source for news. A reader can't tell a cut from calm
 /// before this is over; each halving doubles the price of reading.
-pub const WATCH_MS: Millis = Millis(700);
+pub const LONG_POLL_MS: Millis = Millis(700);
 
 /// How old a picture grows before a host reads for itself: one wait at the source, the
 /// way, and a lost datagram's worth of slack.
@@ -99,7 +99,7 @@
 
 impl Reader {
     /// A host that has just started.
-    pub fn new(mut rng: Pcg64Mcg, now_ms: Millis, start: Start) -> Reader {
+    pub fn new(mut rng: Pcg64Mcg, now_ms: Millis, start: StartConditions) -> Reader {
         let waits = start.waits(&mut rng);
         Reader {
             rng,
@@ -122,7 +122,7 @@
     }
 
     /// When it tries again while the source is away for all; none while it is not.
-    pub fn held_until_ms(&self) -> Option<Millis> {
+    pub fn outage_retry_ms(&self) -> Option<Millis> {
         self.hold.map(|hold| hold.until_ms)
     }
 
@@ -152,12 +152,12 @@
             Some(_) if self.needs_whole => ReadStep::Snapshot,
             // Who steps in for a silent reader tells the others at once that it has.
             Some(at_ms) if now_ms.since(at_ms) >= PATIENCE_MS => ReadStep::Changes(Millis::ZERO),
-            Some(_) => ReadStep::Changes(WATCH_MS),
+            Some(_) => ReadStep::Changes(LONG_POLL_MS),
         }
     }
 
     /// The first call brought something, but not all; true if this host reads on at once.
-    pub fn began(&mut self) -> bool {
+    pub fn first_page_succeeded(&mut self) -> bool {
         self.failures = 0;
         self.has_first = true;
         let reads_on = self.rest_wait_ms == Millis::ZERO;
@@ -167,7 +167,7 @@
     }
 
     /// The sample holds upstreams of all services, or too few to serve with.
-    pub fn sampled(&mut self, is_enough: bool) {
+    pub fn sample_succeeded(&mut self, is_enough: bool) {
         self.failures = 0;
         self.may_sample = false;
         self.is_reading = false;
@@ -192,7 +192,7 @@
     }
 
     /// Changes were missed: the next reading is a whole one.
-    pub fn needs_whole(&mut self) {
+    pub fn require_snapshot(&mut self) {
         self.needs_whole = true;
     }
 
@@ -202,12 +202,12 @@
             return self.started_ms + self.start_wait_ms + rest_ms;
         };
         let rank = members.reader_rank();
-        let has_better = members.better_readers(now_ms) >= READERS;
+        let has_better = members.active_preferred_readers(now_ms) >= ACTIVE_READERS;
         if has_better {
             self.is_reading = false;
         }
         let known_ms = self.started_ms + KNOWING_MS;
-        let is_reader = self.is_reading || rank < READERS && now_ms >= known_ms;
+        let is_reader = self.is_reading || rank < ACTIVE_READERS && now_ms >= known_ms;
         match !has_better && (is_reader || self.needs_whole) {
             true => now_ms,
             false => (confirmed_ms + PATIENCE_MS).max(known_ms) + turn_ms(rank),
--- a/crates/published/src/reading/start.rs
+++ b/crates/published/src/reading/start.rs
@@ -50,7 +50,7 @@
 
 /// How a host came to start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Start {
+pub struct StartConditions {
     /// The others ask this host first, so it reads at once.
     pub is_seed: bool,
     /// The whole system starts for the first time.
@@ -61,7 +61,7 @@
     pub link_mbps: Option<NonZeroU32>,
 }
 
-impl Start {
+impl StartConditions {
     /// How long its link needs for the largest answer of one call.
     fn call_ms(&self) -> u64 {
         self.link_mbps.map_or(0, |link_mbps| CALL_KILOBITS / u64::from(link_mbps.get()))
--- a/crates/published/src/routing.rs
+++ b/crates/published/src/routing.rs
@@ -33,7 +33,7 @@
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Repeat {
+pub enum Idempotency {
     /// It may.
     Idempotent,
     /// It must not.
@@ -50,7 +50,7 @@
     /// Beginning of the path; begins and ends with a slash.
     pub prefix: String,
     /// Whether its requests may run more than once.
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
     /// Time within which an answer is of full use.
     pub objective_ms: Millis,
     /// Time after which a caller is not kept waiting any longer.
--- a/crates/published/src/state.rs
+++ b/crates/published/src/state.rs
@@ -3,7 +3,7 @@
 //! It is fed whole readings and changes, by its own reader or by peers, in any order and
 //! more than once. Each key moves forward by its own revision only. A removal is final
 //! at once in calm times; one that is seen just after the source came back from an
-//! outage waits for [`RETURN_GRACE_MS`], since entries lapse while instances can't renew
+//! outage waits for [`REREGISTRATION_GRACE_MS`], since entries lapse while instances can't renew
 //! them.
 
 mod bootstrap;
@@ -25,11 +25,11 @@
 
 /// Without a confirmed reading for so long, entries may have lapsed at the source: they do
 /// after three heartbeat intervals of 1.5 s, of which one may have passed before.
-pub const AWAY_MS: Millis = Millis(2_200);
+pub const SOURCE_OUTAGE_MS: Millis = Millis(2_200);
 
 /// Entries that lapsed are registered anew within this time of the source's return: two
 /// seconds by the platform's word, and a tenth for the way.
-pub const RETURN_GRACE_MS: Millis = Millis(2_200);
+pub const REREGISTRATION_GRACE_MS: Millis = Millis(2_200);
 
 /// What is believed to be published.
 #[derive(Debug, Default)]
@@ -99,7 +99,7 @@
 
     /// Everything, for a peer. What lapsed is left out: a peer that holds it waits for its
     /// return by itself, one that doesn't would wait for ever.
-    pub fn whole(&self) -> Snapshot {
+    pub fn snapshot(&self) -> Snapshot {
         let upstreams = self.present().map(|entry| Entry {
             revision: entry.revision,
             value: Item::Upstream(Arc::clone(&entry.value)),
@@ -128,7 +128,7 @@
     }
 
     /// Takes a whole reading, made at `at_ms`.
-    pub fn take_whole(&mut self, at_ms: Millis, whole: Snapshot) -> Vec<StateChange> {
+    pub fn apply_snapshot(&mut self, at_ms: Millis, whole: Snapshot) -> Vec<StateChange> {
         self.note_return(at_ms);
         let mut state_changes = Vec::new();
         let is_newest = whole.revision >= self.revision;
@@ -161,7 +161,7 @@
     ///
     /// Returns false beside the beliefs where changes before `after` are missing here: each
     /// is taken all the same, but the picture has a gap until a whole reading.
-    pub fn take_changes(
+    pub fn apply_changes(
         &mut self,
         at_ms: Millis,
         after: Revision,
@@ -189,17 +189,17 @@
     /// Takes what a peer told of what was missing, known to it at `at_ms`.
     ///
     /// Returns false beside the beliefs where something is missing still.
-    pub fn take_catch_up(&mut self, at_ms: Millis, catch_up: CatchUp) -> (Vec<StateChange>, bool) {
+    pub fn apply_catch_up(&mut self, at_ms: Millis, catch_up: CatchUp) -> (Vec<StateChange>, bool) {
         match catch_up {
-            CatchUp::Snapshot(whole) => (self.take_whole(at_ms, whole), true),
+            CatchUp::Snapshot(whole) => (self.apply_snapshot(at_ms, whole), true),
             CatchUp::Changes { after, revision, changes } => {
-                self.take_changes(at_ms, after, revision, changes)
+                self.apply_changes(at_ms, after, revision, changes)
             }
         }
     }
 
     /// Drops lapsed entries whose time to come back is over.
-    pub fn settle(&mut self, now_ms: Millis) -> Vec<StateChange> {
+    pub fn expire(&mut self, now_ms: Millis) -> Vec<StateChange> {
         let is_over = |lapsed: &Lapsed| lapsed.until_ms <= now_ms;
         let over: Vec<Removal> = self
             .lapsed
@@ -220,13 +220,13 @@
         let is_old = |tombstone: &Tombstone| now_ms.since(tombstone.since_ms) >= TOMBSTONE_MS;
         let old = self.removed.values().filter(|tombstone| is_old(tombstone));
         let last = old.map(|tombstone| tombstone.revision).max();
-        let last = last.unwrap_or_default().max(self.evacuations.forget(now_ms, TOMBSTONE_MS));
+        let last = last.unwrap_or_default().max(self.evacuations.expire(now_ms, TOMBSTONE_MS));
         self.removals_since = self.removals_since.max(last);
         self.removed.retain(|_, tombstone| !is_old(tombstone));
     }
 
     fn note_return(&mut self, at_ms: Millis) {
-        if self.confirmed_ms.is_some_and(|last| at_ms.since(last) > AWAY_MS) {
+        if self.confirmed_ms.is_some_and(|last| at_ms.since(last) > SOURCE_OUTAGE_MS) {
             self.returned_ms = Some(at_ms);
         }
     }
--- a/crates/published/src/state/bootstrap.rs
+++ b/crates/published/src/state/bootstrap.rs
@@ -6,7 +6,7 @@
 //! milliseconds, and the host that tells it as long again for each host that asks.
 
 use super::PublishedState;
-use crate::preference::{Preferred, preferred};
+use crate::preference::{PreferredCounts, preferred_upstreams};
 use crate::{Eligibility, Entry, Item, Revision, Snapshot, StateChange, Upstream};
 use domain::{FastMap, HostId, Millis, ServiceName, ZoneName};
 use serde::{Deserialize, Serialize};
@@ -25,7 +25,7 @@
 
 /// What a host prefers of each service, as long as that fits: to ask three and send to the best,
 /// and to go elsewhere when its own availability zone has no room.
-const PREFERRED: Preferred = Preferred { near: 5, far: 3 };
+const PREFERRED: PreferredCounts = PreferredCounts { local_zone: 5, other_zones: 3 };
 
 /// What a host begins to serve with.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -99,13 +99,13 @@
             }
         }
         let each = MOST_UPSTREAMS / services.len().max(1);
-        let most = Preferred {
-            near: PREFERRED.near.min(each.div_ceil(2)),
-            far: PREFERRED.far.min(each / 2),
+        let most = PreferredCounts {
+            local_zone: PREFERRED.local_zone.min(each.div_ceil(2)),
+            other_zones: PREFERRED.other_zones.min(each / 2),
         };
         let chosen = services
             .into_values()
-            .flat_map(|upstreams| preferred(host, zone, most, upstreams.into_iter()));
+            .flat_map(|upstreams| preferred_upstreams(host, zone, most, upstreams.into_iter()));
         chosen
             .take(MOST_UPSTREAMS)
             .filter_map(|upstream| self.upstreams.get(&upstream.id))
@@ -114,16 +114,17 @@
     }
 
     /// Takes a first picture, known at `at_ms`. One that is not whole confirms nothing.
-    pub fn take_bootstrap(&mut self, at_ms: Millis, first: BootstrapSnapshot) -> Vec<StateChange> {
+    pub fn apply_bootstrap(&mut self, at_ms: Millis, first: BootstrapSnapshot) -> Vec<StateChange> {
         let BootstrapSnapshot { revision, items, is_complete, .. } = first;
         if is_complete {
-            return self.take_whole(at_ms, Snapshot { revision, items, overwritten: Vec::new() });
+            return self
+                .apply_snapshot(at_ms, Snapshot { revision, items, overwritten: Vec::new() });
         }
-        self.take_items(items)
+        self.apply_items(items)
     }
 
     /// Takes a part of what is published, to begin with.
-    pub fn take_items(&mut self, items: Vec<Entry<Item>>) -> Vec<StateChange> {
+    pub fn apply_items(&mut self, items: Vec<Entry<Item>>) -> Vec<StateChange> {
         let mut state_changes = Vec::new();
         for entry in items {
             self.write(entry, &mut state_changes);
--- a/crates/published/src/state/catch_up.rs
+++ b/crates/published/src/state/catch_up.rs
@@ -19,7 +19,7 @@
 
 impl KnownRevisions {
     /// The same, but for entries: all of them are wanted.
-    pub fn without_entries(self) -> KnownRevisions {
+    pub fn without_upstreams(self) -> KnownRevisions {
         KnownRevisions { revision: Revision(0), ..self }
     }
 }
@@ -52,7 +52,7 @@
 
 impl PublishedState {
     /// What this picture holds.
-    pub fn held(&self) -> KnownRevisions {
+    pub fn known_revisions(&self) -> KnownRevisions {
         let routing = self.routing.as_ref().map(|entry| entry.revision);
         KnownRevisions { revision: self.revision, routing }
     }
@@ -70,7 +70,7 @@
     }
 
     fn whole_without(&self, routing: Option<Revision>) -> Snapshot {
-        let mut whole = self.whole();
+        let mut whole = self.snapshot();
         let is_held = |entry: &Entry<Item>| {
             matches!(entry.value, Item::Routing(_)) && routing >= Some(entry.revision)
         };
--- a/crates/published/src/state/entries.rs
+++ b/crates/published/src/state/entries.rs
@@ -1,7 +1,7 @@
 //! The picture's entries: each moves forward by its own revision, and an end is remembered for a
 //! while against late news.
 
-use super::{PublishedState, RETURN_GRACE_MS};
+use super::{PublishedState, REREGISTRATION_GRACE_MS};
 use crate::{
     Entry, Removal, RemovalCause, Revision, RunStart, StateChange, Upstream, UpstreamMode,
 };
@@ -100,7 +100,7 @@
         if held.revision > removal.revision {
             return;
         }
-        let grace_end_ms = self.returned_ms.map(|at_ms| at_ms + RETURN_GRACE_MS);
+        let grace_end_ms = self.returned_ms.map(|at_ms| at_ms + REREGISTRATION_GRACE_MS);
         match grace_end_ms.filter(|&end_ms| now_ms < end_ms) {
             Some(until_ms)
                 if held.value.mode == UpstreamMode::Ready
--- a/crates/published/src/state/routing.rs
+++ b/crates/published/src/state/routing.rs
@@ -23,7 +23,7 @@
     }
 
     /// The same changes with the routing told as its difference from the one held now.
-    pub fn patched(&self, changes: &[Change]) -> Vec<Change> {
+    pub fn with_routing_patches(&self, changes: &[Change]) -> Vec<Change> {
         let mut held = self.routing.clone();
         let patch = |change: &Change| {
             let Change::Written(Entry { revision, value: Item::Routing(routing) }) = change else {
--- a/crates/published/tests/catch_up.rs
+++ b/crates/published/tests/catch_up.rs
@@ -4,9 +4,11 @@
 mod support;
 
 use domain::Millis;
-use published::{AWAY_MS, CatchUp, Change, PublishedState, RETURN_GRACE_MS, Revision};
+use published::{
+    CatchUp, Change, PublishedState, REREGISTRATION_GRACE_MS, Revision, SOURCE_OUTAGE_MS,
+};
 use rstest::rstest;
-use support::{draining, removed, routing, whole, written};
+use support::{draining, removed, routing, snapshot, written};
 
 const BEGIN_MS: Millis = Millis(10);
 
@@ -14,15 +16,15 @@
 fn picture() -> PublishedState {
     let mut picture = PublishedState::default();
     let items = vec![routing(1, 7), written(2, "a"), written(3, "b"), written(4, "c")];
-    picture.take_whole(BEGIN_MS, whole(10, items));
+    picture.apply_snapshot(BEGIN_MS, snapshot(10, items));
     picture
 }
 
 fn take(picture: &mut PublishedState, changes: &[Change]) {
     let after = picture.revision();
-    let told = picture.patched(changes);
+    let told = picture.with_routing_patches(changes);
     let revision = Revision(after.0 + 10);
-    assert!(picture.take_changes(Millis(20), after, revision, told).1);
+    assert!(picture.apply_changes(Millis(20), after, revision, told).1);
 }
 
 #[rstest]
@@ -38,12 +40,12 @@
 fn a_peer_that_missed_it_catches_up(#[case] changes: &[Change], #[case] told: usize) {
     let (mut teller, mut behind) = (picture(), picture());
     take(&mut teller, changes);
-    let catch_up = teller.catch_up(behind.held());
+    let catch_up = teller.catch_up(behind.known_revisions());
     match &catch_up {
         CatchUp::Changes { changes, .. } => assert_eq!(changes.len(), told, "{changes:?}"),
         CatchUp::Snapshot(_) => panic!("told everything"),
     }
-    assert!(behind.take_catch_up(Millis(30), catch_up).1);
+    assert!(behind.apply_catch_up(Millis(30), catch_up).1);
     assert_eq!(behind.digest(), teller.digest());
     assert_eq!(behind.revision(), teller.revision());
     assert_eq!(behind.routing().unwrap().value, teller.routing().unwrap().value);
@@ -53,7 +55,9 @@
 fn a_routing_is_told_as_its_difference() {
     let (mut teller, behind) = (picture(), picture());
     take(&mut teller, &[routing(11, 8)]);
-    let CatchUp::Changes { changes, .. } = teller.catch_up(behind.held()) else { panic!() };
+    let CatchUp::Changes { changes, .. } = teller.catch_up(behind.known_revisions()) else {
+        panic!()
+    };
     assert!(matches!(&changes[..], [Change::Patched(_)]), "{changes:?}");
 }
 
@@ -61,9 +65,9 @@
 fn who_holds_nothing_is_told_everything() {
     let teller = picture();
     let mut new = PublishedState::default();
-    let CatchUp::Snapshot(everything) = teller.catch_up(new.held()) else { panic!() };
+    let CatchUp::Snapshot(everything) = teller.catch_up(new.known_revisions()) else { panic!() };
     assert_eq!(everything.items.len(), 4);
-    new.take_catch_up(Millis(20), CatchUp::Snapshot(everything));
+    new.apply_catch_up(Millis(20), CatchUp::Snapshot(everything));
     assert_eq!(new.digest(), teller.digest());
 }
 
@@ -72,13 +76,17 @@
     let (teller, mut other) = (picture(), picture());
     take(&mut other, &[]);
     let mut torn = PublishedState::default();
-    torn.take_whole(BEGIN_MS, whole(10, vec![routing(1, 7), written(2, "a"), written(5, "x")]));
+    torn.apply_snapshot(
+        BEGIN_MS,
+        snapshot(10, vec![routing(1, 7), written(2, "a"), written(5, "x")]),
+    );
     assert_ne!(torn.digest(), teller.digest());
-    let CatchUp::Snapshot(everything) = teller.catch_up(torn.held().without_entries()) else {
+    let CatchUp::Snapshot(everything) = teller.catch_up(torn.known_revisions().without_upstreams())
+    else {
         panic!()
     };
     assert_eq!(everything.items.len(), 3, "{everything:?}");
-    torn.take_catch_up(Millis(20), CatchUp::Snapshot(everything));
+    torn.apply_catch_up(Millis(20), CatchUp::Snapshot(everything));
     assert_eq!(torn.digest(), teller.digest());
 }
 
@@ -86,20 +94,20 @@
 fn a_removal_whose_tombstone_is_gone_is_not_missed() {
     let (mut teller, mut behind) = (picture(), picture());
     take(&mut teller, &[removed(11, "a")]);
-    teller.settle(Millis(100_000));
-    let catch_up = teller.catch_up(behind.held());
+    teller.expire(Millis(100_000));
+    let catch_up = teller.catch_up(behind.known_revisions());
     assert!(matches!(catch_up, CatchUp::Snapshot(_)), "{catch_up:?}");
-    behind.take_catch_up(Millis(100_001), catch_up);
+    behind.apply_catch_up(Millis(100_001), catch_up);
     // For the one behind the source was away so long; entries may come back.
-    behind.settle(Millis(100_001) + RETURN_GRACE_MS);
+    behind.expire(Millis(100_001) + REREGISTRATION_GRACE_MS);
     assert_eq!(behind.digest(), teller.digest());
 }
 
 /// A teller whose entry `a` lapsed while the source was away, and a peer that missed it.
 fn lapsed() -> (PublishedState, PublishedState) {
     let (mut teller, behind) = (picture(), picture());
-    let return_ms = BEGIN_MS + AWAY_MS + Millis(1);
-    teller.take_changes(return_ms, Revision(10), Revision(11), vec![removed(11, "a")]);
+    let return_ms = BEGIN_MS + SOURCE_OUTAGE_MS + Millis(1);
+    teller.apply_changes(return_ms, Revision(10), Revision(11), vec![removed(11, "a")]);
     assert!(teller.upstreams().any(|entry| entry.value.id.as_str() == "a"));
     (teller, behind)
 }
@@ -107,11 +115,11 @@
 #[test]
 fn a_lapse_is_told_though_the_teller_still_waits_for_the_return() {
     let (mut teller, mut behind) = lapsed();
-    let told_ms = BEGIN_MS + AWAY_MS + Millis(100);
-    behind.take_catch_up(told_ms, teller.catch_up(behind.held()));
+    let told_ms = BEGIN_MS + SOURCE_OUTAGE_MS + Millis(100);
+    behind.apply_catch_up(told_ms, teller.catch_up(behind.known_revisions()));
     assert_eq!(behind.digest(), teller.digest(), "both wait");
-    teller.settle(told_ms + RETURN_GRACE_MS);
-    behind.settle(told_ms + RETURN_GRACE_MS);
+    teller.expire(told_ms + REREGISTRATION_GRACE_MS);
+    behind.expire(told_ms + REREGISTRATION_GRACE_MS);
     assert_eq!(behind.digest(), teller.digest(), "both gave it up");
     assert_eq!(behind.upstreams().count(), 2);
 }
@@ -120,7 +128,7 @@
 fn who_is_new_is_not_told_of_what_lapsed() {
     let (teller, _) = lapsed();
     let mut new = PublishedState::default();
-    new.take_catch_up(BEGIN_MS + AWAY_MS, teller.catch_up(new.held()));
+    new.apply_catch_up(BEGIN_MS + SOURCE_OUTAGE_MS, teller.catch_up(new.known_revisions()));
     assert_eq!(new.upstreams().count(), 2);
     assert_eq!(new.digest(), teller.digest(), "they hold the same of what is published");
 }
@@ -129,8 +137,11 @@
 fn giving_up_what_lapsed_sets_nobody_apart() {
     let (mut teller, mut behind) = lapsed();
     let waiting = teller.digest();
-    behind.take_catch_up(BEGIN_MS + AWAY_MS + Millis(100), teller.catch_up(behind.held()));
-    teller.settle(BEGIN_MS + AWAY_MS + RETURN_GRACE_MS + Millis(2));
+    behind.apply_catch_up(
+        BEGIN_MS + SOURCE_OUTAGE_MS + Millis(100),
+        teller.catch_up(behind.known_revisions()),
+    );
+    teller.expire(BEGIN_MS + SOURCE_OUTAGE_MS + REREGISTRATION_GRACE_MS + Millis(2));
     assert_eq!(teller.upstreams().count(), 2);
     assert_eq!(behind.upstreams().count(), 3, "it still waits");
     assert_eq!([teller.digest(), behind.digest()], [waiting, waiting]);
--- a/crates/published/tests/evacuation.rs
+++ b/crates/published/tests/evacuation.rs
@@ -10,7 +10,7 @@
 };
 use rstest::rstest;
 use support::site::{Broken, Fault, Site, Spell};
-use support::{draining, removed, routing, upstream, whole, written};
+use support::{draining, removed, routing, snapshot, upstream, written};
 
 const NOW: Millis = Millis(10_000);
 
@@ -34,7 +34,7 @@
 /// Holds everything up to a revision.
 fn holding(revision: u64, items: Vec<Change>) -> PublishedState {
     let mut picture = PublishedState::default();
-    picture.take_whole(NOW, whole(revision, items));
+    picture.apply_snapshot(NOW, snapshot(revision, items));
     picture
 }
 
@@ -50,7 +50,7 @@
 fn evacuations_move_forward_only(#[case] changes: Vec<Change>, #[case] left: &[&str]) {
     let mut picture = PublishedState::default();
     for change in changes {
-        picture.take_changes(NOW, Revision(0), Revision(0), vec![change]);
+        picture.apply_changes(NOW, Revision(0), Revision(0), vec![change]);
     }
     assert_eq!(zones(&picture), left);
 }
@@ -65,7 +65,7 @@
     #[case] left: &[&str],
 ) {
     let mut picture = holding(2, vec![evacuated(2, "a")]);
-    picture.take_whole(NOW, whole(revision, items));
+    picture.apply_snapshot(NOW, snapshot(revision, items));
     assert_eq!(zones(&picture), left);
 }
 
@@ -74,10 +74,10 @@
     let mut knows = holding(1, vec![written(1, "i-1")]);
     let mut missed = holding(1, vec![written(1, "i-1")]);
     let changes = [evacuated(2, "kariakoo"), evacuated(3, "temeke"), restored(4, "temeke")];
-    knows.take_changes(NOW, Revision(1), Revision(4), changes.to_vec());
+    knows.apply_changes(NOW, Revision(1), Revision(4), changes.to_vec());
     assert_ne!(knows.digest(), missed.digest());
-    let told = knows.catch_up(missed.held());
-    let (state_changes, is_gapless) = missed.take_catch_up(NOW, told);
+    let told = knows.catch_up(missed.known_revisions());
+    let (state_changes, is_gapless) = missed.apply_catch_up(NOW, told);
     assert!(is_gapless);
     assert_eq!((zones(&missed), missed.digest()), (vec!["kariakoo".to_owned()], knows.digest()));
     let zone = "kariakoo".parse().unwrap();
@@ -88,7 +88,7 @@
 fn who_lost_its_history_is_told_with_the_whole() {
     let knows = holding(4, vec![written(1, "i-1"), evacuated(2, "kariakoo")]);
     let mut fresh = PublishedState::default();
-    fresh.take_whole(NOW, knows.whole());
+    fresh.apply_snapshot(NOW, knows.snapshot());
     assert_eq!(zones(&fresh), ["kariakoo"]);
 }
 
@@ -96,11 +96,11 @@
 fn an_end_is_remembered_for_who_asks_later_and_then_everything_is_told() {
     let mut knows = holding(2, vec![evacuated(2, "kariakoo")]);
     let missed = holding(2, vec![evacuated(2, "kariakoo")]);
-    knows.take_changes(NOW, Revision(2), Revision(3), vec![restored(3, "kariakoo")]);
+    knows.apply_changes(NOW, Revision(2), Revision(3), vec![restored(3, "kariakoo")]);
     for later_ms in [1_000, 120_000] {
-        knows.settle(NOW + Millis(later_ms));
+        knows.expire(NOW + Millis(later_ms));
         let mut missed = holding(2, vec![evacuated(2, "kariakoo")]);
-        missed.take_catch_up(NOW, knows.catch_up(missed.held()));
+        missed.apply_catch_up(NOW, knows.catch_up(missed.known_revisions()));
         assert!(zones(&missed).is_empty(), "after {later_ms} ms");
     }
     assert_eq!(zones(&missed), ["kariakoo"]);
@@ -127,7 +127,7 @@
 fn a_host_that_starts_knows_it_with_its_first_page(#[case] upstreams: usize) {
     let snapshot = first_page(upstreams);
     let mut fresh = PublishedState::default();
-    fresh.take_bootstrap(NOW, snapshot);
+    fresh.apply_bootstrap(NOW, snapshot);
     assert_eq!(zones(&fresh), ["kariakoo"]);
     let usable = fresh
         .upstreams()
@@ -151,7 +151,7 @@
     #[case] wanted: Eligibility,
 ) {
     let mut picture = PublishedState::default();
-    picture.take_changes(NOW, Revision(0), Revision(2), changes);
+    picture.apply_changes(NOW, Revision(0), Revision(2), changes);
     assert_eq!(upstream("i-1", mode).eligibility(picture.evacuations()), wanted);
 }
 
@@ -159,8 +159,8 @@
 fn other_changes_leave_it_alone() {
     let mut picture = holding(1, vec![evacuated(1, "kariakoo")]);
     let changes = vec![written(2, "i-1"), draining(3, "i-1"), removed(4, "i-1"), routing(5, 1)];
-    picture.take_changes(NOW, Revision(1), Revision(5), changes);
-    picture.take_whole(NOW, Snapshot { revision: Revision(1), ..Snapshot::default() });
+    picture.apply_changes(NOW, Revision(1), Revision(5), changes);
+    picture.apply_snapshot(NOW, Snapshot { revision: Revision(1), ..Snapshot::default() });
     assert_eq!(zones(&picture), ["kariakoo"]);
 }
 
--- a/crates/published/tests/joining.rs
+++ b/crates/published/tests/joining.rs
@@ -11,7 +11,7 @@
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
 use std::net::SocketAddr;
-use support::{draining, routing, whole, written};
+use support::{draining, routing, snapshot, written};
 
 const NOW: Millis = Millis(5_000);
 
@@ -33,19 +33,22 @@
 fn published(upstreams: u64) -> Snapshot {
     let items = std::iter::once(routing(1, 1))
         .chain((0..upstreams).map(|n| written(n + 2, &format!("i-{n}"))));
-    whole(upstreams + 1, items.collect::<Vec<Change>>())
+    snapshot(upstreams + 1, items.collect::<Vec<Change>>())
 }
 
 fn seed(upstreams: u64) -> Gossip {
     let mut seed = host(1);
-    seed.take_whole(NOW, published(upstreams));
+    seed.apply_snapshot(NOW, published(upstreams));
     seed
 }
 
 fn join(seed: &mut Gossip, number: u16, at_ms: Millis) -> Option<Bootstrap> {
     let from = member(number);
     let sender = from.address;
-    answer_to(number, &seed.take(at_ms, Message::Join { from, is_redirected: false }, sender))
+    answer_to(
+        number,
+        &seed.handle_message(at_ms, Message::Join { from, is_redirected: false }, sender),
+    )
 }
 
 fn answer_to(number: u16, effects: &[Effect]) -> Option<Bootstrap> {
@@ -61,7 +64,7 @@
 
 fn answer(joining: &mut Gossip, from: u16, bootstrap: Bootstrap) -> Vec<Effect> {
     let reply = published::JoinReply { from: member(from), host_count: 9, bootstrap };
-    joining.take(NOW, Message::JoinReply(Box::new(reply)), member(from).address)
+    joining.handle_message(NOW, Message::JoinReply(Box::new(reply)), member(from).address)
 }
 
 #[rstest]
@@ -76,10 +79,10 @@
     let offer = join(&mut seed(upstreams), 2, NOW).unwrap();
     let mut joining = host(2);
     answer(&mut joining, 1, offer);
-    assert!(joining.picture().routing().is_some());
-    assert_eq!(joining.picture().confirmed_ms().is_some(), is_complete);
-    assert_eq!(joining.picture().is_partial(), !is_complete);
-    assert_eq!(joining.picture().upstreams().count(), told);
+    assert!(joining.published_state().routing().is_some());
+    assert_eq!(joining.published_state().confirmed_ms().is_some(), is_complete);
+    assert_eq!(joining.published_state().is_partial(), !is_complete);
+    assert_eq!(joining.published_state().upstreams().count(), told);
     assert_eq!(joining.members().count(), 9, "the fleet that the seed knows");
 }
 
@@ -87,11 +90,11 @@
 fn hosts_are_told_different_upstreams_and_none_that_leaves() {
     let mut seed = seed(200);
     let leaving: Vec<Change> = (0..100).map(|n| draining(n + 300, &format!("i-{n}"))).collect();
-    seed.take_changes(NOW, Revision(201), Revision(400), &leaving);
+    seed.apply_changes(NOW, Revision(201), Revision(400), &leaving);
     let told = |offer: Bootstrap| match offer {
         Bootstrap::Partial { snapshot: first, .. } => {
             let mut joining = published::PublishedState::default();
-            joining.take_bootstrap(NOW, first);
+            joining.apply_bootstrap(NOW, first);
             assert!(joining.upstreams().all(|entry| entry.value.mode == UpstreamMode::Ready));
             let mut ids: Vec<String> =
                 joining.upstreams().map(|entry| entry.value.id.to_string()).collect();
@@ -108,33 +111,33 @@
 #[test]
 fn before_a_routing_is_published_it_is_told_that_there_is_none() {
     let mut seed = host(1);
-    seed.take_whole(NOW, whole(1, Vec::new()));
+    seed.apply_snapshot(NOW, snapshot(1, Vec::new()));
     let offer = join(&mut seed, 2, NOW).unwrap();
     let mut joining = host(2);
     answer(&mut joining, 1, offer);
-    assert!(joining.picture().confirmed_ms().is_some(), "it need not read by itself");
+    assert!(joining.published_state().confirmed_ms().is_some(), "it need not read by itself");
 }
 
 #[test]
 fn it_waits_for_a_seed_that_reads_and_is_told_then() {
     let mut seed = host(1);
-    seed.set_reading(true);
+    seed.set_initial_read(true);
     let offer = join(&mut seed, 2, NOW).unwrap();
     assert_eq!(offer, Bootstrap::NotReady { is_reading: true });
     let mut joining = host(2);
     answer(&mut joining, 1, offer);
-    assert!(joining.is_being_told(NOW + Millis(500)));
-    assert!(!joining.is_being_told(NOW + Millis(1_000)), "not for ever");
-    let effects = seed.take_whole(NOW + Millis(100), published(34));
+    assert!(joining.is_bootstrap_pending(NOW + Millis(500)));
+    assert!(!joining.is_bootstrap_pending(NOW + Millis(1_000)), "not for ever");
+    let effects = seed.apply_snapshot(NOW + Millis(100), published(34));
     assert!(matches!(answer_to(2, &effects), Some(Bootstrap::Complete(_))));
 }
 
 #[test]
 fn the_first_page_of_a_large_source_is_enough_to_help_others() {
     let mut seed = host(1);
-    seed.set_reading(true);
+    seed.set_initial_read(true);
     join(&mut seed, 2, NOW);
-    let effects = seed.take_page(NOW, published(499).items);
+    let effects = seed.apply_partial_items(NOW, published(499).items);
     assert!(matches!(answer_to(2, &effects), Some(Bootstrap::Partial { .. })));
 }
 
@@ -142,15 +145,15 @@
 fn two_that_read_do_not_wait_for_each_other() {
     let mut pair = [host(1), host(2)];
     for one in &mut pair {
-        one.set_reading(true);
-        one.take_page(NOW, published(499).items);
+        one.set_initial_read(true);
+        one.apply_partial_items(NOW, published(499).items);
     }
     let [first, second] = &mut pair;
     let to_second = join(first, 2, NOW).unwrap();
     let to_first = join(second, 1, NOW).unwrap();
     answer(second, 1, to_second);
     answer(first, 2, to_first);
-    assert!(!first.is_being_told(NOW) && !second.is_being_told(NOW));
+    assert!(!first.is_bootstrap_pending(NOW) && !second.is_bootstrap_pending(NOW));
 }
 
 #[test]
@@ -159,13 +162,13 @@
     for number in 100..300 {
         join(&mut seed, number, NOW);
     }
-    let mut effects = seed.take_whole(NOW, published(1_000));
+    let mut effects = seed.apply_snapshot(NOW, published(1_000));
     assert!(effects.len() < 20, "not all at once");
     while let Some(Effect::AnswerPendingJoins { .. }) =
         effects.iter().rfind(|effect| matches!(effect, Effect::AnswerPendingJoins { .. }))
     {
         effects.retain(|effect| !matches!(effect, Effect::AnswerPendingJoins { .. }));
-        effects.extend(seed.answer_more(NOW));
+        effects.extend(seed.answer_pending_joins(NOW));
     }
     let position = |wanted: u16| {
         let to = member(wanted).address;
@@ -203,16 +206,16 @@
         };
         effects.into_iter().filter_map(of).collect()
     };
-    assert_eq!(known(seed.announce(NOW)), [20]);
-    assert!(known(seed.announce(NOW)).is_empty());
+    assert_eq!(known(seed.announce_joined(NOW)), [20]);
+    assert!(known(seed.announce_joined(NOW)).is_empty());
     for number in 30..130 {
         join(&mut seed, number, NOW);
     }
-    assert!(known(seed.announce(NOW)).is_empty(), "their lists come with the picture");
+    assert!(known(seed.announce_joined(NOW)).is_empty(), "their lists come with the picture");
     let from = member(400);
     let sender = from.address;
-    seed.take(NOW, Message::Join { from, is_redirected: true }, sender);
-    assert!(known(seed.announce(NOW)).is_empty(), "it came with hundreds of others");
+    seed.handle_message(NOW, Message::Join { from, is_redirected: true }, sender);
+    assert!(known(seed.announce_joined(NOW)).is_empty(), "it came with hundreds of others");
 }
 
 #[test]
@@ -246,7 +249,7 @@
     assert!(matches!(join(&mut seed, 90, NOW), Some(Bootstrap::Redirect { .. })));
     let from = member(91);
     let sender = from.address;
-    let effects = seed.take(NOW, Message::Join { from, is_redirected: true }, sender);
+    let effects = seed.handle_message(NOW, Message::Join { from, is_redirected: true }, sender);
     assert!(matches!(answer_to(91, &effects), Some(Bootstrap::Partial { .. })));
 }
 
@@ -254,7 +257,7 @@
 fn a_seed_behind_a_fast_link_answers_more_itself() {
     let own = Member { capacity: Capacity { link_mbps: 200, cpu_percent: 50 }, ..member(1) };
     let mut seed = Gossip::new(own, Pcg64Mcg::seed_from_u64(1));
-    seed.take_whole(NOW, published(1_000));
+    seed.apply_snapshot(NOW, published(1_000));
     let answers = (2..402).filter_map(|number| join(&mut seed, number, NOW));
     let answered = answers.filter(|answer| matches!(answer, Bootstrap::Partial { .. }));
     assert_eq!(answered.count(), 320);
--- a/crates/published/tests/reading.rs
+++ b/crates/published/tests/reading.rs
@@ -3,7 +3,8 @@
 
 use domain::{HostId, Incarnation, Millis};
 use published::{
-    Capacity, Member, Members, PublishedState, ReadStep, Reader, Revision, Snapshot, Start,
+    Capacity, Member, Members, PublishedState, ReadStep, Reader, Revision, Snapshot,
+    StartConditions,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -41,14 +42,14 @@
 }
 
 impl Host {
-    fn new(number: u64, start: Start) -> Host {
+    fn new(number: u64, start: StartConditions) -> Host {
         Host::of(HOSTS, number, start)
     }
 
-    fn of(hosts: u64, number: u64, start: Start) -> Host {
+    fn of(hosts: u64, number: u64, start: StartConditions) -> Host {
         let mut members = Members::new(member(number));
         for other in 1..=hosts {
-            members.note(Millis::ZERO, member(other));
+            members.record(Millis::ZERO, member(other));
         }
         let rng = Pcg64Mcg::seed_from_u64(number);
         let reader = Reader::new(rng, Millis::ZERO, start);
@@ -60,15 +61,17 @@
     }
 
     fn read(&mut self, now_ms: Millis) {
-        let whole = Snapshot { revision: Revision(1), items: Vec::new(), overwritten: Vec::new() };
-        self.picture.take_whole(now_ms, whole);
+        let snapshot =
+            Snapshot { revision: Revision(1), items: Vec::new(), overwritten: Vec::new() };
+        self.picture.apply_snapshot(now_ms, snapshot);
         self.reader.succeeded(now_ms, false);
     }
 
     fn hear(&mut self, now_ms: Millis, reader: &HostId) {
-        let whole = Snapshot { revision: Revision(1), items: Vec::new(), overwritten: Vec::new() };
-        self.picture.take_whole(now_ms, whole);
-        self.members.note_reader(now_ms, reader);
+        let snapshot =
+            Snapshot { revision: Revision(1), items: Vec::new(), overwritten: Vec::new() };
+        self.picture.apply_snapshot(now_ms, snapshot);
+        self.members.record_read(now_ms, reader);
     }
 }
 
@@ -103,7 +106,8 @@
     }
 
     fn of(size: u64) -> Fleet {
-        let start = Start { is_seed: false, is_first: false, other_seeds: 0, link_mbps: None };
+        let start =
+            StartConditions { is_seed: false, is_first: false, other_seeds: 0, link_mbps: None };
         let mut hosts: Vec<Host> = (1..=size).map(|number| Host::of(size, number, start)).collect();
         for host in &mut hosts {
             host.read(Millis::ZERO);
@@ -158,7 +162,7 @@
             for (teller, reader) in failed {
                 for (at, host) in self.hosts.iter_mut().enumerate() {
                     if at != teller {
-                        host.members.note_failed_reader(now_ms, &reader);
+                        host.members.record_failed_read(now_ms, &reader);
                     }
                 }
             }
@@ -274,14 +278,18 @@
 }
 
 #[rstest]
-#[case::alone(Start { is_seed: true, is_first: true, other_seeds: 0, link_mbps: None }, 0, 0)]
-#[case::nobody_to_ask(Start { is_seed: false, is_first: false, other_seeds: 0, link_mbps: None }, 0, 0)]
-#[case::seed(Start { is_seed: true, is_first: true, other_seeds: 2, link_mbps: None }, 15, 15)]
-#[case::restart(Start { is_seed: false, is_first: false, other_seeds: 3, link_mbps: None }, 80, 780)]
-#[case::behind_a_narrow_link(Start { is_seed: false, is_first: false, other_seeds: 3, link_mbps: NonZeroU32::new(20) }, 560, 1_260)]
-#[case::behind_a_wide_link(Start { is_seed: false, is_first: false, other_seeds: 3, link_mbps: NonZeroU32::new(1_000) }, 88, 788)]
-#[case::first_start(Start { is_seed: false, is_first: true, other_seeds: 3, link_mbps: None }, 1_540, 2_240)]
-fn a_start_reads_in_time(#[case] start: Start, #[case] first_ms: u64, #[case] rest_ms: u64) {
+#[case::alone(StartConditions { is_seed: true, is_first: true, other_seeds: 0, link_mbps: None }, 0, 0)]
+#[case::nobody_to_ask(StartConditions { is_seed: false, is_first: false, other_seeds: 0, link_mbps: None }, 0, 0)]
+#[case::seed(StartConditions { is_seed: true, is_first: true, other_seeds: 2, link_mbps: None }, 15, 15)]
+#[case::restart(StartConditions { is_seed: false, is_first: false, other_seeds: 3, link_mbps: None }, 80, 780)]
+#[case::behind_a_narrow_link(StartConditions { is_seed: false, is_first: false, other_seeds: 3, link_mbps: NonZeroU32::new(20) }, 560, 1_260)]
+#[case::behind_a_wide_link(StartConditions { is_seed: false, is_first: false, other_seeds: 3, link_mbps: NonZeroU32::new(1_000) }, 88, 788)]
+#[case::first_start(StartConditions { is_seed: false, is_first: true, other_seeds: 3, link_mbps: None }, 1_540, 2_240)]
+fn a_start_reads_in_time(
+    #[case] start: StartConditions,
+    #[case] first_ms: u64,
+    #[case] rest_ms: u64,
+) {
     let mut host = Host::new(3, start);
     let due_ms = |step: ReadStep| match step {
         ReadStep::Wait(until_ms) => until_ms,
@@ -292,7 +300,7 @@
     assert!(due_ms(host.step(Millis::ZERO)) <= Millis(first_ms));
     assert_eq!(host.step(Millis(first_ms)), ReadStep::FirstPage);
     // One call brought all of a small source; the rest of a large one may come from a peer.
-    host.reader.began();
+    host.reader.first_page_succeeded();
     assert!(due_ms(host.step(Millis(first_ms))) <= Millis(rest_ms));
     assert_eq!(host.step(Millis(rest_ms)), ReadStep::Snapshot);
 }
@@ -310,7 +318,8 @@
     #[case] sample_ms: Option<u64>,
 ) {
     let link_mbps = NonZeroU32::new(link_mbps);
-    let mut host = Host::new(3, Start { is_seed, is_first: false, other_seeds, link_mbps });
+    let mut host =
+        Host::new(3, StartConditions { is_seed, is_first: false, other_seeds, link_mbps });
     host.is_wanted = true;
     let mut sampled_ms = None;
     for now in 0..100 {
@@ -327,11 +336,11 @@
 #[case::too_small(false, true)]
 fn after_a_sample_the_rest_is_read(#[case] is_enough: bool, #[case] reads_on: bool) {
     let link_mbps = NonZeroU32::new(10);
-    let start = Start { is_seed: false, is_first: false, other_seeds: 3, link_mbps };
+    let start = StartConditions { is_seed: false, is_first: false, other_seeds: 3, link_mbps };
     let mut host = Host::new(3, start);
     host.is_wanted = true;
     assert_eq!(host.step(Millis(20)), ReadStep::Sample);
-    host.reader.sampled(is_enough);
+    host.reader.sample_succeeded(is_enough);
     let next = host.step(Millis(1_000));
     assert_eq!(next == ReadStep::FirstPage, reads_on, "{next:?}");
     assert_eq!(host.step(Millis(2_000)) == ReadStep::Snapshot, !reads_on);
@@ -339,8 +348,10 @@
 
 #[test]
 fn failures_are_followed_by_growing_pauses_that_end() {
-    let mut host =
-        Host::new(3, Start { is_seed: true, is_first: false, other_seeds: 0, link_mbps: None });
+    let mut host = Host::new(
+        3,
+        StartConditions { is_seed: true, is_first: false, other_seeds: 0, link_mbps: None },
+    );
     let mut now_ms = Millis::ZERO;
     let mut pauses = Vec::new();
     for _ in 0..8 {
@@ -357,35 +368,41 @@
 
 #[test]
 fn lost_history_is_followed_by_a_whole_reading() {
-    let mut host =
-        Host::new(3, Start { is_seed: true, is_first: false, other_seeds: 0, link_mbps: None });
+    let mut host = Host::new(
+        3,
+        StartConditions { is_seed: true, is_first: false, other_seeds: 0, link_mbps: None },
+    );
     host.read(Millis(10));
-    host.reader.needs_whole();
+    host.reader.require_snapshot();
     assert_eq!(host.step(Millis(2_000)), ReadStep::Snapshot);
 }
 
 #[test]
 fn a_source_that_answers_is_not_held_to_be_away() {
-    let mut host =
-        Host::new(3, Start { is_seed: false, is_first: false, other_seeds: 0, link_mbps: None });
+    let mut host = Host::new(
+        3,
+        StartConditions { is_seed: false, is_first: false, other_seeds: 0, link_mbps: None },
+    );
     host.read(Millis(10));
     let others: Vec<HostId> = host.members.others().map(|member| member.host.clone()).collect();
     let fail_all = |host: &mut Host, now_ms| {
-        others.iter().for_each(|other| host.members.note_failed_reader(now_ms, other));
+        others.iter().for_each(|other| host.members.record_failed_read(now_ms, other));
     };
     fail_all(&mut host, Millis(2_000));
     let ReadStep::Wait(until_ms) = host.step(Millis(2_000)) else { panic!("it tried at once") };
     fail_all(&mut host, until_ms);
     assert!(matches!(host.step(until_ms), ReadStep::Changes(_)));
     // The source answered that its history is gone: it is there.
-    host.reader.needs_whole();
+    host.reader.require_snapshot();
     assert_eq!(host.step(until_ms), ReadStep::Snapshot);
 }
 
 #[test]
 fn a_picture_from_a_peer_need_not_be_read_again() {
-    let mut host =
-        Host::new(3, Start { is_seed: true, is_first: false, other_seeds: 0, link_mbps: None });
+    let mut host = Host::new(
+        3,
+        StartConditions { is_seed: true, is_first: false, other_seeds: 0, link_mbps: None },
+    );
     let reader = member(4).host;
     host.hear(Millis(10), &reader);
     assert!(matches!(host.step(Millis(5_000)), ReadStep::Changes(_)));
--- a/crates/published/tests/restart.rs
+++ b/crates/published/tests/restart.rs
@@ -5,11 +5,11 @@
 
 use domain::Millis;
 use published::{
-    AWAY_MS, Change, PublishedState, RETURN_GRACE_MS, RemovalCause, Revision, RunStart, Snapshot,
-    StateChange,
+    Change, PublishedState, REREGISTRATION_GRACE_MS, RemovalCause, Revision, RunStart,
+    SOURCE_OUTAGE_MS, Snapshot, StateChange,
 };
 use rstest::rstest;
-use support::{draining, id, of_run, overwritten, removal, removed, whole, written};
+use support::{draining, id, of_run, overwritten, removal, removed, snapshot, written};
 
 fn start(start_ms: u64) -> RunStart {
     RunStart(Some(Millis(start_ms)))
@@ -28,7 +28,7 @@
 fn run_after(changes: Vec<Change>) -> Option<RunStart> {
     let mut picture = PublishedState::default();
     for change in changes {
-        picture.take_changes(Millis(10), Revision(0), Revision(0), vec![change]);
+        picture.apply_changes(Millis(10), Revision(0), Revision(0), vec![change]);
     }
     picture.upstream(&id("a")).map(|entry| entry.value.run)
 }
@@ -68,9 +68,11 @@
 #[test]
 fn a_restart_is_told_once_with_both_starts() {
     let mut picture = PublishedState::default();
-    picture.take_whole(Millis(10), whole(1, vec![of_run(1, "a", 100)]));
+    picture.apply_snapshot(Millis(10), snapshot(1, vec![of_run(1, "a", 100)]));
     let take = |picture: &mut PublishedState, revision, change| {
-        picture.take_changes(Millis(20), Revision(revision - 1), Revision(revision), vec![change]).0
+        picture
+            .apply_changes(Millis(20), Revision(revision - 1), Revision(revision), vec![change])
+            .0
     };
     assert_eq!(take(&mut picture, 2, of_run(2, "a", 200)), [restarted(2, 100, 200)]);
     assert_eq!(take(&mut picture, 3, of_run(3, "a", 200)), []);
@@ -81,10 +83,10 @@
 #[test]
 fn a_run_that_begins_while_its_former_was_leaving_takes_work() {
     let mut picture = PublishedState::default();
-    picture.take_whole(Millis(10), whole(2, vec![of_run(1, "a", 100)]));
-    picture.take_changes(Millis(11), Revision(2), Revision(3), vec![draining(3, "a")]);
+    picture.apply_snapshot(Millis(10), snapshot(2, vec![of_run(1, "a", 100)]));
+    picture.apply_changes(Millis(11), Revision(2), Revision(3), vec![draining(3, "a")]);
     let (state_changes, _) =
-        picture.take_changes(Millis(12), Revision(3), Revision(4), vec![of_run(4, "a", 200)]);
+        picture.apply_changes(Millis(12), Revision(3), Revision(4), vec![of_run(4, "a", 200)]);
     let joined = StateChange::UpstreamJoined { upstream: id("a"), revision: Revision(4) };
     assert_eq!(state_changes, [restarted(4, 100, 200), joined]);
 }
@@ -92,55 +94,57 @@
 #[test]
 fn a_run_that_begins_while_its_former_had_lapsed_is_back() {
     let mut picture = PublishedState::default();
-    picture.take_whole(Millis(1_000), whole(5, vec![of_run(1, "a", 100)]));
-    let at_ms = Millis(1_001) + AWAY_MS;
-    picture.take_changes(at_ms, Revision(5), Revision(6), vec![removed(6, "a")]);
+    picture.apply_snapshot(Millis(1_000), snapshot(5, vec![of_run(1, "a", 100)]));
+    let at_ms = Millis(1_001) + SOURCE_OUTAGE_MS;
+    picture.apply_changes(at_ms, Revision(5), Revision(6), vec![removed(6, "a")]);
     let (state_changes, _) =
-        picture.take_changes(at_ms, Revision(6), Revision(7), vec![of_run(7, "a", 200)]);
+        picture.apply_changes(at_ms, Revision(6), Revision(7), vec![of_run(7, "a", 200)]);
     let returned = StateChange::UpstreamReturned { upstream: id("a"), revision: Revision(7) };
     assert_eq!(state_changes, [restarted(7, 100, 200), returned]);
-    assert!(picture.settle(at_ms + RETURN_GRACE_MS).is_empty());
+    assert!(picture.expire(at_ms + REREGISTRATION_GRACE_MS).is_empty());
     assert!(picture.upstream(&id("a")).is_some());
 }
 
 #[test]
 fn a_restart_reaches_a_peer_by_a_whole_picture_and_by_changes() {
     let mut teller = PublishedState::default();
-    teller.take_whole(Millis(10), whole(1, vec![of_run(1, "a", 100)]));
+    teller.apply_snapshot(Millis(10), snapshot(1, vec![of_run(1, "a", 100)]));
     let mut peer = PublishedState::default();
-    peer.take_whole(Millis(10), teller.whole());
-    teller.take_changes(Millis(11), Revision(1), Revision(2), vec![of_run(2, "a", 200)]);
-    let (state_changes, _) = peer.take_catch_up(Millis(12), teller.catch_up(peer.held()));
+    peer.apply_snapshot(Millis(10), teller.snapshot());
+    teller.apply_changes(Millis(11), Revision(1), Revision(2), vec![of_run(2, "a", 200)]);
+    let (state_changes, _) =
+        peer.apply_catch_up(Millis(12), teller.catch_up(peer.known_revisions()));
     assert_eq!(state_changes, [restarted(2, 100, 200)]);
     // One that took the former run's late words for the newest is set right by either way.
     let mut misled = PublishedState::default();
-    misled.take_whole(Millis(10), whole(3, vec![of_run(3, "a", 100)]));
-    misled.take_catch_up(Millis(12), teller.catch_up(misled.held().without_entries()));
+    misled.apply_snapshot(Millis(10), snapshot(3, vec![of_run(3, "a", 100)]));
+    misled
+        .apply_catch_up(Millis(12), teller.catch_up(misled.known_revisions().without_upstreams()));
     assert_eq!(misled.upstream(&id("a")).unwrap().value.run, start(200));
 }
 
 /// A picture that was read again after the source was away: what is removed now may come back.
 fn returned() -> (PublishedState, Millis) {
     let mut picture = PublishedState::default();
-    picture.take_whole(Millis(1_000), whole(5, vec![written(1, "a"), written(2, "b")]));
-    let at_ms = Millis(1_001) + AWAY_MS;
+    picture.apply_snapshot(Millis(1_000), snapshot(5, vec![written(1, "a"), written(2, "b")]));
+    let at_ms = Millis(1_001) + SOURCE_OUTAGE_MS;
     picture.confirm(at_ms, Revision(5));
     (picture, at_ms)
 }
 
 #[rstest]
 #[case::as_a_change(None)]
-#[case::in_a_whole_reading(Some(whole(6, vec![written(2, "b")])))]
+#[case::in_a_whole_reading(Some(snapshot(6, vec![written(2, "b")])))]
 fn an_entry_that_names_no_upstream_ends_the_former_at_once(#[case] reading: Option<Snapshot>) {
     let (mut picture, at_ms) = returned();
     let state_changes = match reading {
         None => {
             let changes = vec![overwritten(6, "a")];
-            picture.take_changes(at_ms, Revision(5), Revision(6), changes).0
+            picture.apply_changes(at_ms, Revision(5), Revision(6), changes).0
         }
-        Some(whole) => {
+        Some(snapshot) => {
             let overwritten = vec![removal(6, "a", RemovalCause::Overwritten)];
-            picture.take_whole(at_ms, Snapshot { overwritten, ..whole })
+            picture.apply_snapshot(at_ms, Snapshot { overwritten, ..snapshot })
         }
     };
     let cause = RemovalCause::Overwritten;
@@ -154,17 +158,17 @@
 #[test]
 fn one_that_had_lapsed_is_waited_for_no_more() {
     let (mut picture, at_ms) = returned();
-    picture.take_changes(at_ms, Revision(5), Revision(6), vec![removed(6, "a")]);
+    picture.apply_changes(at_ms, Revision(5), Revision(6), vec![removed(6, "a")]);
     assert!(picture.upstream(&id("a")).is_some());
-    picture.take_changes(at_ms, Revision(6), Revision(7), vec![overwritten(7, "a")]);
+    picture.apply_changes(at_ms, Revision(6), Revision(7), vec![overwritten(7, "a")]);
     assert!(picture.upstream(&id("a")).is_none());
 }
 
 #[test]
 fn what_is_written_over_it_takes_work_again() {
     let (mut picture, at_ms) = returned();
-    picture.take_changes(at_ms, Revision(5), Revision(6), vec![overwritten(6, "a")]);
-    picture.take_changes(at_ms, Revision(6), Revision(7), vec![written(7, "a")]);
+    picture.apply_changes(at_ms, Revision(5), Revision(6), vec![overwritten(6, "a")]);
+    picture.apply_changes(at_ms, Revision(6), Revision(7), vec![written(7, "a")]);
     assert!(picture.upstream(&id("a")).is_some());
 }
 
@@ -174,9 +178,13 @@
 fn a_peer_ends_it_at_once_too(#[case] is_complete: bool) {
     let (mut teller, at_ms) = returned();
     let (mut peer, _) = returned();
-    teller.take_changes(at_ms, Revision(5), Revision(6), vec![overwritten(6, "a")]);
-    let held = if is_complete { peer.held().without_entries() } else { peer.held() };
-    peer.take_catch_up(at_ms, teller.catch_up(held));
+    teller.apply_changes(at_ms, Revision(5), Revision(6), vec![overwritten(6, "a")]);
+    let held = if is_complete {
+        peer.known_revisions().without_upstreams()
+    } else {
+        peer.known_revisions()
+    };
+    peer.apply_catch_up(at_ms, teller.catch_up(held));
     assert!(peer.upstream(&id("a")).is_none());
     assert_eq!(peer.digest(), teller.digest());
 }
--- a/crates/published/tests/routing.rs
+++ b/crates/published/tests/routing.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used)]
 
 use domain::{ByteCount, Millis, Version};
-use published::{CallerLimits, Destination, Repeat, Route, RouteTable, Routing};
+use published::{CallerLimits, Destination, Idempotency, Route, RouteTable, Routing};
 use rstest::rstest;
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
         name: format!("{host}{prefix}"),
         host: host.to_owned(),
         prefix: prefix.to_owned(),
-        repeat: Repeat::Idempotent,
+        idempotency: Idempotency::Idempotent,
         objective_ms: Millis(400),
         timeout_ms: Millis(1_200),
         attempts: 2,
--- a/crates/published/tests/state.rs
+++ b/crates/published/tests/state.rs
@@ -5,18 +5,18 @@
 
 use domain::{Millis, Version};
 use published::{
-    AWAY_MS, Change, Entry, Item, PublishedState, RETURN_GRACE_MS, RemovalCause, Revision,
-    StateChange, Upstream, UpstreamMode,
+    Change, Entry, Item, PublishedState, REREGISTRATION_GRACE_MS, RemovalCause, Revision,
+    SOURCE_OUTAGE_MS, StateChange, Upstream, UpstreamMode,
 };
 use rstest::rstest;
 use std::sync::Arc;
-use support::{draining, id, removed, routing, whole, written};
+use support::{draining, id, removed, routing, snapshot, written};
 
 /// Applies changes one by one at one moment; returns who is left, in order.
 fn after(changes: Vec<Change>) -> Vec<String> {
     let mut picture = PublishedState::default();
     for change in changes {
-        picture.take_changes(Millis(10), Revision(0), Revision(0), vec![change]);
+        picture.apply_changes(Millis(10), Revision(0), Revision(0), vec![change]);
     }
     names(&picture)
 }
@@ -57,7 +57,7 @@
 fn routing_never_goes_back(#[case] changes: Vec<Change>, #[case] in_force: u64) {
     let mut picture = PublishedState::default();
     for change in changes {
-        picture.take_changes(Millis(10), Revision(0), Revision(0), vec![change]);
+        picture.apply_changes(Millis(10), Revision(0), Revision(0), vec![change]);
     }
     assert_eq!(picture.routing().unwrap().value.version, Version(in_force));
 }
@@ -65,8 +65,8 @@
 #[test]
 fn missing_entries_of_a_whole_reading_are_gone() {
     let mut picture = PublishedState::default();
-    picture.take_whole(Millis(10), whole(5, vec![written(1, "a"), written(2, "b")]));
-    let state_changes = picture.take_whole(Millis(20), whole(9, vec![written(2, "b")]));
+    picture.apply_snapshot(Millis(10), snapshot(5, vec![written(1, "a"), written(2, "b")]));
+    let state_changes = picture.apply_snapshot(Millis(20), snapshot(9, vec![written(2, "b")]));
     assert_eq!(names(&picture), ["b"]);
     assert_eq!(state_changes, [gone(9, "a")]);
 }
@@ -74,80 +74,80 @@
 #[test]
 fn an_older_whole_reading_removes_nothing() {
     let mut picture = PublishedState::default();
-    picture.take_whole(Millis(10), whole(9, vec![written(7, "a")]));
-    picture.take_whole(Millis(20), whole(5, Vec::new()));
+    picture.apply_snapshot(Millis(10), snapshot(9, vec![written(7, "a")]));
+    picture.apply_snapshot(Millis(20), snapshot(5, Vec::new()));
     assert_eq!(names(&picture), ["a"]);
 }
 
 #[test]
 fn an_entry_newer_than_a_whole_reading_stays() {
     let mut picture = PublishedState::default();
-    picture.take_whole(Millis(10), whole(5, vec![written(1, "a")]));
-    picture.take_changes(Millis(11), Revision(5), Revision(5), vec![written(8, "b")]);
-    picture.take_whole(Millis(20), whole(7, vec![written(1, "a")]));
+    picture.apply_snapshot(Millis(10), snapshot(5, vec![written(1, "a")]));
+    picture.apply_changes(Millis(11), Revision(5), Revision(5), vec![written(8, "b")]);
+    picture.apply_snapshot(Millis(20), snapshot(7, vec![written(1, "a")]));
     assert_eq!(names(&picture), ["a", "b"]);
 }
 
 /// A picture that was last confirmed at 1 s and read again after the source was away.
 fn returned(at_ms: Millis) -> PublishedState {
     let mut picture = PublishedState::default();
-    picture.take_whole(Millis(1_000), whole(5, vec![written(1, "a"), draining(2, "b")]));
-    picture.take_changes(at_ms, Revision(5), Revision(9), vec![removed(8, "a"), removed(9, "b")]);
+    picture.apply_snapshot(Millis(1_000), snapshot(5, vec![written(1, "a"), draining(2, "b")]));
+    picture.apply_changes(at_ms, Revision(5), Revision(9), vec![removed(8, "a"), removed(9, "b")]);
     picture
 }
 
 #[test]
 fn what_lapsed_while_the_source_was_away_is_kept_for_its_return() {
-    let at_ms = Millis(1_001) + AWAY_MS;
+    let at_ms = Millis(1_001) + SOURCE_OUTAGE_MS;
     let mut picture = returned(at_ms);
     // One that had said it was leaving is gone for good.
     assert_eq!(names(&picture), ["a"]);
-    assert!(picture.settle(at_ms + RETURN_GRACE_MS - Millis(1)).is_empty());
+    assert!(picture.expire(at_ms + REREGISTRATION_GRACE_MS - Millis(1)).is_empty());
     assert_eq!(names(&picture), ["a"]);
-    let state_changes = picture.settle(at_ms + RETURN_GRACE_MS);
+    let state_changes = picture.expire(at_ms + REREGISTRATION_GRACE_MS);
     assert_eq!(state_changes, [gone(8, "a")]);
     assert!(names(&picture).is_empty());
 }
 
 #[test]
 fn what_came_back_stays() {
-    let at_ms = Millis(1_001) + AWAY_MS;
+    let at_ms = Millis(1_001) + SOURCE_OUTAGE_MS;
     let mut picture = returned(at_ms);
     let (state_changes, _) =
-        picture.take_changes(at_ms, Revision(9), Revision(10), vec![written(10, "a")]);
+        picture.apply_changes(at_ms, Revision(9), Revision(10), vec![written(10, "a")]);
     assert_eq!(
         state_changes,
         [StateChange::UpstreamReturned { upstream: id("a"), revision: Revision(10) }]
     );
-    assert!(picture.settle(at_ms + RETURN_GRACE_MS).is_empty());
+    assert!(picture.expire(at_ms + REREGISTRATION_GRACE_MS).is_empty());
     assert_eq!(names(&picture), ["a"]);
 }
 
 #[test]
 fn in_calm_times_a_removal_is_final_at_once() {
-    assert!(names(&returned(Millis(1_000) + AWAY_MS)).is_empty());
+    assert!(names(&returned(Millis(1_000) + SOURCE_OUTAGE_MS)).is_empty());
 }
 
 #[test]
 fn a_removal_long_after_the_return_is_final_at_once() {
-    let at_ms = Millis(1_001) + AWAY_MS;
+    let at_ms = Millis(1_001) + SOURCE_OUTAGE_MS;
     let mut picture = PublishedState::default();
-    picture.take_whole(Millis(1_000), whole(5, vec![written(1, "a")]));
+    picture.apply_snapshot(Millis(1_000), snapshot(5, vec![written(1, "a")]));
     picture.confirm(at_ms, Revision(5));
     for step in 0..4 {
         picture.confirm(at_ms + Millis(700 * step), Revision(5));
     }
-    let late_ms = at_ms + RETURN_GRACE_MS;
-    picture.take_changes(late_ms, Revision(5), Revision(6), vec![removed(6, "a")]);
+    let late_ms = at_ms + REREGISTRATION_GRACE_MS;
+    picture.apply_changes(late_ms, Revision(5), Revision(6), vec![removed(6, "a")]);
     assert!(names(&picture).is_empty());
 }
 
 #[test]
 fn a_gap_is_told_and_confirms_nothing() {
     let mut picture = PublishedState::default();
-    picture.take_whole(Millis(10), whole(5, vec![written(1, "a")]));
+    picture.apply_snapshot(Millis(10), snapshot(5, vec![written(1, "a")]));
     let (_, is_gapless) =
-        picture.take_changes(Millis(500), Revision(7), Revision(9), vec![written(9, "b")]);
+        picture.apply_changes(Millis(500), Revision(7), Revision(9), vec![written(9, "b")]);
     assert!(!is_gapless);
     assert_eq!(picture.revision(), Revision(5));
     assert_eq!(picture.confirmed_ms(), Some(Millis(10)));
@@ -157,7 +157,7 @@
 #[test]
 fn a_confirmation_of_what_is_not_held_counts_nothing() {
     let mut picture = PublishedState::default();
-    picture.take_whole(Millis(10), whole(5, Vec::new()));
+    picture.apply_snapshot(Millis(10), snapshot(5, Vec::new()));
     picture.confirm(Millis(500), Revision(6));
     assert_eq!(picture.confirmed_ms(), Some(Millis(10)));
     picture.confirm(Millis(500), Revision(5));
@@ -170,10 +170,10 @@
 fn a_peer_that_takes_the_whole_holds_the_same() {
     let mut picture = PublishedState::default();
     let items = vec![routing(1, 3), written(2, "a"), draining(3, "b")];
-    picture.take_whole(Millis(10), whole(5, items));
+    picture.apply_snapshot(Millis(10), snapshot(5, items));
     let mut peer = PublishedState::default();
     assert_ne!(peer.digest(), picture.digest());
-    peer.take_whole(Millis(20), picture.whole());
+    peer.apply_snapshot(Millis(20), picture.snapshot());
     assert_eq!(peer.digest(), picture.digest());
     assert_eq!(peer.revision(), picture.revision());
     assert_eq!(names(&peer), names(&picture));
@@ -184,7 +184,7 @@
         name: name.to_owned(),
         host: "a.example".to_owned(),
         prefix: format!("/{name}/"),
-        repeat: published::Repeat::Idempotent,
+        idempotency: published::Idempotency::Idempotent,
         objective_ms: Millis(400),
         timeout_ms: Millis(timeout_ms),
         attempts: 2,
@@ -218,13 +218,13 @@
     let mut reader = PublishedState::default();
     let mut peer = PublishedState::default();
     for picture in [&mut reader, &mut peer] {
-        picture.take_changes(Millis(1), Revision(0), Revision(1), vec![old.clone()]);
+        picture.apply_changes(Millis(1), Revision(0), Revision(1), vec![old.clone()]);
     }
     let changes = vec![new, newest];
-    let told = reader.patched(&changes);
+    let told = reader.with_routing_patches(&changes);
     assert!(told.iter().all(|change| matches!(change, Change::Patched(_))), "{told:?}");
-    reader.take_changes(Millis(2), Revision(1), Revision(3), changes);
-    let (_, is_gapless) = peer.take_changes(Millis(2), Revision(1), Revision(3), told);
+    reader.apply_changes(Millis(2), Revision(1), Revision(3), changes);
+    let (_, is_gapless) = peer.apply_changes(Millis(2), Revision(1), Revision(3), told);
     assert!(is_gapless);
     assert_eq!(routes(&peer), routes(&reader));
     assert_eq!(routes(&peer), [("a".to_owned(), 100), ("b".to_owned(), 300)]);
@@ -236,10 +236,10 @@
     let old = routing_with(1, vec![route("a", 100)]);
     let new = routing_with(2, vec![route("b", 100)]);
     let mut reader = PublishedState::default();
-    reader.take_changes(Millis(1), Revision(0), Revision(1), vec![old]);
-    let told = reader.patched(&[new]);
+    reader.apply_changes(Millis(1), Revision(0), Revision(1), vec![old]);
+    let told = reader.with_routing_patches(&[new]);
     let mut peer = PublishedState::default();
-    let (state_changes, is_gapless) = peer.take_changes(Millis(2), Revision(0), Revision(2), told);
+    let (state_changes, is_gapless) = peer.apply_changes(Millis(2), Revision(0), Revision(2), told);
     assert!(state_changes.is_empty());
     assert!(!is_gapless);
     assert_eq!(peer.revision(), Revision(0));
@@ -252,9 +252,9 @@
     let old = routing_with(1, vec![route("a", 100)]);
     let new = routing_with(2, vec![route("a", 100), second]);
     let mut reader = PublishedState::default();
-    reader.take_changes(Millis(1), Revision(0), Revision(1), vec![old.clone()]);
-    let told = reader.patched(&[new]);
+    reader.apply_changes(Millis(1), Revision(0), Revision(1), vec![old.clone()]);
+    let told = reader.with_routing_patches(&[new]);
     assert!(matches!(&told[..], [Change::Written(_)]), "{told:?}");
-    reader.take_changes(Millis(2), Revision(1), Revision(2), told);
+    reader.apply_changes(Millis(2), Revision(1), Revision(2), told);
     assert_eq!(routes(&reader).len(), 2);
 }
--- a/crates/published/tests/support/mod.rs
+++ b/crates/published/tests/support/mod.rs
@@ -73,7 +73,7 @@
     Change::Written(Entry { revision: Revision(revision), value: Item::Routing(Arc::new(routing)) })
 }
 
-pub fn whole(revision: u64, items: Vec<Change>) -> Snapshot {
+pub fn snapshot(revision: u64, items: Vec<Change>) -> Snapshot {
     let entry = |change| match change {
         Change::Written(entry) => entry,
         _ => unreachable!("a whole reading holds entries only"),
--- a/crates/published/tests/support/site.rs
+++ b/crates/published/tests/support/site.rs
@@ -7,7 +7,7 @@
 use domain::{Incarnation, Millis};
 use published::{
     Capacity, Change, Effect, Entry, Fetch, FetchReply, Gossip, Item, Member, Message,
-    PublishedState, ReadStep, Reader, Revision, Snapshot, Start,
+    PublishedState, ReadStep, Reader, Revision, Snapshot, StartConditions,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -159,7 +159,7 @@
         let rng = Pcg64Mcg::seed_from_u64(self.rng.random());
         let is_seed = number < SEEDS;
         let other_seeds = SEEDS - usize::from(is_seed);
-        let start = Start { is_seed, is_first, other_seeds, link_mbps: None };
+        let start = StartConditions { is_seed, is_first, other_seeds, link_mbps: None };
         Host {
             gossip: Gossip::new(member, rng.clone()),
             reader: Reader::new(rng, self.now_ms, start),
@@ -230,9 +230,11 @@
     /// All that are up hold the same, which is what is published.
     pub fn check_settled(&self) -> Result<(), String> {
         let up = || self.hosts.iter().filter(|host| host.is_up);
-        let digests: Vec<u64> = up().map(|host| host.gossip.picture().digest()).collect();
+        let digests: Vec<u64> = up().map(|host| host.gossip.published_state().digest()).collect();
         match digests.windows(2).all(|pair| pair[0] == pair[1]) {
-            true if up().all(|host| host.gossip.picture().revision() >= self.revision) => Ok(()),
+            true if up().all(|host| host.gossip.published_state().revision() >= self.revision) => {
+                Ok(())
+            }
             _ => Err("hosts hold different pictures after all is calm".to_owned()),
         }
     }
@@ -244,7 +246,7 @@
 
     /// Whether something holds of what each host that is up believes.
     pub fn all_hold(&self, holds: impl Fn(&PublishedState) -> bool) -> bool {
-        self.hosts.iter().filter(|host| host.is_up).all(|host| holds(host.gossip.picture()))
+        self.hosts.iter().filter(|host| host.is_up).all(|host| holds(host.gossip.published_state()))
     }
 
     fn active(&self) -> impl Iterator<Item = Fault> + '_ {
@@ -329,26 +331,26 @@
             match event {
                 Event::Message { to, from, message } if self.hosts[to].is_up => {
                     let message = self.received(message);
-                    let effects = self.hosts[to].gossip.take(now_ms, message, from);
+                    let effects = self.hosts[to].gossip.handle_message(now_ms, message, from);
                     self.carry_out(to, effects);
                 }
                 Event::Told { to, run, fetch, answer }
                     if self.hosts[to].is_up && self.run_of(to) == run =>
                 {
                     let answer = answer.filter(|_| self.broken != Broken::Fetches);
-                    let effects = self.hosts[to].gossip.take_told(now_ms, fetch, answer);
+                    let effects = self.hosts[to].gossip.finish_fetch(now_ms, fetch, answer);
                     self.carry_out(to, effects);
                 }
                 Event::Announce { host, run }
                     if self.hosts[host].is_up && self.run_of(host) == run =>
                 {
-                    let effects = self.hosts[host].gossip.announce(now_ms);
+                    let effects = self.hosts[host].gossip.announce_joined(now_ms);
                     self.carry_out(host, effects);
                 }
                 Event::AnswerMore { host, run }
                     if self.hosts[host].is_up && self.run_of(host) == run =>
                 {
-                    let effects = self.hosts[host].gossip.answer_more(now_ms);
+                    let effects = self.hosts[host].gossip.answer_pending_joins(now_ms);
                     self.carry_out(host, effects);
                 }
                 Event::Fetch { host, run, fetch }
@@ -385,11 +387,12 @@
             let own = self.hosts[at].address;
             let others: Vec<SocketAddr> = seeds.filter(|seed| *seed != own).collect();
             let gossip = &mut self.hosts[at].gossip;
-            let effects = if is_joining { gossip.join(&others) } else { gossip.greet(&others) };
+            let effects =
+                if is_joining { gossip.join(&others) } else { gossip.send_hello(&others) };
             self.carry_out(at, effects);
         }
         if (now_ms.0 + offset).is_multiple_of(SETTLE_MS) {
-            let effects = self.hosts[at].gossip.settle(now_ms);
+            let effects = self.hosts[at].gossip.expire(now_ms);
             self.carry_out(at, effects);
         }
         self.step_reader(at);
@@ -399,13 +402,14 @@
         let now_ms = self.now_ms;
         let host = &mut self.hosts[at];
         let waits = host.is_reading || now_ms < host.wake_ms;
-        if waits || host.gossip.is_being_told(now_ms) {
+        if waits || host.gossip.is_bootstrap_pending(now_ms) {
             return;
         }
-        let step = host.reader.step(now_ms, host.gossip.members(), host.gossip.picture(), false);
+        let step =
+            host.reader.step(now_ms, host.gossip.members(), host.gossip.published_state(), false);
         let is_barred = self.broken == Broken::StandIns
             && host.gossip.members().reader_rank() > 0
-            && host.gossip.picture().confirmed_ms().is_some();
+            && host.gossip.published_state().confirmed_ms().is_some();
         let wait_ms = match step {
             ReadStep::Wait(until_ms) => {
                 host.wake_ms = until_ms;
@@ -417,10 +421,10 @@
         };
         host.is_reading = true;
         if matches!(step, ReadStep::FirstPage | ReadStep::Snapshot) {
-            host.gossip.set_reading(true);
+            host.gossip.set_initial_read(true);
         }
         self.calls += 1;
-        let after = host.gossip.picture().revision();
+        let after = host.gossip.published_state().revision();
         let has_news = after < self.revision;
         let took_ms = match self.is_silent_to(at) {
             true => wait_ms + SILENCE_MS,
@@ -442,25 +446,25 @@
         self.hosts[at].is_reading = false;
         if self.is_silent_to(at) {
             self.hosts[at].reader.failed(now_ms);
-            let effects = self.hosts[at].gossip.tell_unread(now_ms);
+            let effects = self.hosts[at].gossip.broadcast_read_failure(now_ms);
             return self.carry_out(at, effects);
         }
         if matches!(asked, ReadStep::FirstPage | ReadStep::Snapshot) {
-            let whole = Snapshot {
+            let snapshot = Snapshot {
                 revision: self.revision,
                 items: self.items.values().cloned().collect(),
                 overwritten: Vec::new(),
             };
-            let effects = self.hosts[at].gossip.take_whole(now_ms, whole);
+            let effects = self.hosts[at].gossip.apply_snapshot(now_ms, snapshot);
             self.hosts[at].reader.succeeded(now_ms, true);
             return self.carry_out(at, effects);
         }
         if after < self.history_since {
-            return self.hosts[at].reader.needs_whole();
+            return self.hosts[at].reader.require_snapshot();
         }
         let is_news = |change: &&Change| revision_of(change) > after;
         let changes: Vec<Change> = self.history.iter().filter(is_news).cloned().collect();
-        let effects = self.hosts[at].gossip.take_changes(now_ms, after, self.revision, &changes);
+        let effects = self.hosts[at].gossip.apply_changes(now_ms, after, self.revision, &changes);
         self.hosts[at].reader.succeeded(now_ms, !changes.is_empty());
         self.carry_out(at, effects);
     }
@@ -508,7 +512,7 @@
         for &address in &fetch.from {
             let peer = self.at_address(address);
             let is_there = self.hosts[peer].is_up && !self.is_cut(at, peer);
-            let told = self.hosts[peer].gossip.tell(self.now_ms, fetch.request);
+            let told = self.hosts[peer].gossip.reply_to_fetch(self.now_ms, fetch.request);
             match told.filter(|_| is_there) {
                 Some(told) => {
                     took_ms = took_ms + self.delay_ms(at, peer) + self.delay_ms(at, peer);
@@ -530,7 +534,7 @@
     fn check(&mut self, at: usize) -> Result<(), String> {
         let now_ms = self.now_ms;
         let host = &mut self.hosts[at];
-        let picture = host.gossip.picture();
+        let picture = host.gossip.published_state();
         let in_force = picture.routing().map_or(Revision(0), |entry| entry.revision);
         if in_force < host.in_force {
             return Err(format!("at {now_ms} host {at} went back to {in_force}"));
--- a/crates/published/tests/support/starting.rs
+++ b/crates/published/tests/support/starting.rs
@@ -8,7 +8,7 @@
 use domain::{Incarnation, Millis};
 use published::{
     Bootstrap, Capacity, Change, Effect, Entry, Fetch, FetchReply, Gossip, Item, Member, Message,
-    ReadStep, Reader, Revision, Snapshot, Start,
+    ReadStep, Reader, Revision, Snapshot, StartConditions,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -112,7 +112,7 @@
 }
 
 enum Event {
-    Start,
+    StartConditions,
     Join,
     Settle,
     ReadStep,
@@ -169,7 +169,7 @@
             };
             let host = site.host(number, started_us);
             site.hosts.push(host);
-            site.push(started_us, number, Event::Start);
+            site.push(started_us, number, Event::StartConditions);
         }
         site
     }
@@ -193,7 +193,7 @@
         let is_seed = number < SEEDS;
         let other_seeds = SEEDS - usize::from(is_seed);
         let link = NonZeroU32::new(link_mbps as u32);
-        let start = Start { is_seed, is_first: false, other_seeds, link_mbps: link };
+        let start = StartConditions { is_seed, is_first: false, other_seeds, link_mbps: link };
         Host {
             gossip: Gossip::new(member, rng.clone()),
             reader: Reader::new(rng, Millis(started_us / 1_000), start),
@@ -292,7 +292,7 @@
     fn note(&mut self, at: usize) {
         let now_us = self.now_us;
         let host = &mut self.hosts[at];
-        let picture = host.gossip.picture();
+        let picture = host.gossip.published_state();
         if picture.routing().is_some() {
             host.serving_us.get_or_insert(now_us.max(host.cpu_us));
         }
@@ -302,7 +302,7 @@
     }
 
     fn handle(&mut self, at: usize, event: Event) {
-        if let Event::Start = event {
+        if let Event::StartConditions = event {
             self.hosts[at].is_up = true;
             let up_us = self.work(at, BOOT_US);
             self.push(up_us, at, Event::Join);
@@ -317,32 +317,32 @@
         }
         let now_ms = self.now_ms();
         match event {
-            Event::Start => {}
+            Event::StartConditions => {}
             Event::Join => self.join(at),
             Event::Settle => {
-                let effects = self.hosts[at].gossip.settle(now_ms);
+                let effects = self.hosts[at].gossip.expire(now_ms);
                 self.carry_out(at, effects);
                 self.push(self.now_us + 500_000, at, Event::Settle);
             }
             Event::ReadStep => self.step_reader(at),
             Event::Message { from, message } => {
                 self.work(at, MESSAGE_US + size(&message) * KILOBYTE_US / 1_024);
-                let effects = self.hosts[at].gossip.take(now_ms, message, from);
+                let effects = self.hosts[at].gossip.handle_message(now_ms, message, from);
                 self.carry_out(at, effects);
             }
             Event::Announce => {
-                let effects = self.hosts[at].gossip.announce(now_ms);
+                let effects = self.hosts[at].gossip.announce_joined(now_ms);
                 self.carry_out(at, effects);
             }
             Event::AnswerMore => {
-                let effects = self.hosts[at].gossip.answer_more(now_ms);
+                let effects = self.hosts[at].gossip.answer_pending_joins(now_ms);
                 self.carry_out(at, effects);
             }
             Event::Fetch { fetch, asked } => self.fetch(at, fetch, asked),
             Event::Told { fetch, answer } => {
                 let bytes = answer.as_ref().map_or(0, |_| self.items.len() as u64 * ENTRY_BYTES);
                 self.work(at, bytes * KILOBYTE_US / 1_024);
-                let effects = self.hosts[at].gossip.take_told(now_ms, fetch, answer);
+                let effects = self.hosts[at].gossip.finish_fetch(now_ms, fetch, answer);
                 self.carry_out(at, effects);
             }
             Event::Read { step } => self.read(at, step),
@@ -358,15 +358,15 @@
         let gossip = &mut host.gossip;
         let joins_us = host.joins_us;
         let (effects, pause_us) = match gossip.is_joining(now_ms) {
-            true if gossip.is_being_told(now_ms) => (gossip.join(&seeds), PROMISED_JOINS_US),
+            true if gossip.is_bootstrap_pending(now_ms) => (gossip.join(&seeds), PROMISED_JOINS_US),
             true => {
                 host.joins_us = (2 * joins_us).min(LAST_JOINS_US);
                 (gossip.join(&seeds), joins_us)
             }
             false if gossip.members().has_changed_within(now_ms, Millis(3_000)) => {
-                (gossip.greet(&seeds), 1_000_000)
+                (gossip.send_hello(&seeds), 1_000_000)
             }
-            false => (gossip.greet(&seeds), 3_000_000),
+            false => (gossip.send_hello(&seeds), 3_000_000),
         };
         self.carry_out(at, effects);
         let jitter: f64 = self.rng.random_range(0.8..1.2);
@@ -376,11 +376,11 @@
     fn step_reader(&mut self, at: usize) {
         let now_ms = self.now_ms();
         let host = &mut self.hosts[at];
-        if host.is_reading || host.gossip.is_being_told(now_ms) {
+        if host.is_reading || host.gossip.is_bootstrap_pending(now_ms) {
             return self.push(self.now_us + 25_000, at, Event::ReadStep);
         }
         let (gossip, is_wanted) = (&host.gossip, self.play.is_busy);
-        let step = host.reader.step(now_ms, gossip.members(), gossip.picture(), is_wanted);
+        let step = host.reader.step(now_ms, gossip.members(), gossip.published_state(), is_wanted);
         let bytes = PAGE.min(self.items.len()) as u64 * VALUE_BYTES;
         let page_us = SOURCE_US + bytes * 8 / host.link_mbps;
         let source_us = bytes * 8 / SOURCE_MBPS;
@@ -397,7 +397,7 @@
             ReadStep::Changes(wait_ms) => (1, SOURCE_US + wait_ms.0 * 1_000),
         };
         if !matches!(step, ReadStep::Changes(_) | ReadStep::Sample) {
-            host.gossip.set_reading(true);
+            host.gossip.set_initial_read(true);
         }
         host.is_reading = true;
         self.calls += calls;
@@ -424,25 +424,25 @@
             ReadStep::Sample => {
                 let of_sample = self.items.iter().step_by(SAMPLES as usize);
                 let items = of_sample.cloned().collect();
-                self.hosts[at].reader.sampled(true);
-                self.hosts[at].gossip.take_page(now_ms, items)
+                self.hosts[at].reader.sample_succeeded(true);
+                self.hosts[at].gossip.apply_partial_items(now_ms, items)
             }
             ReadStep::FirstPage if !is_all => {
                 let items = self.items[..PAGE].to_vec();
-                let reads_on = self.hosts[at].reader.began();
-                self.hosts[at].gossip.set_reading(reads_on);
-                self.hosts[at].gossip.take_page(now_ms, items)
+                let reads_on = self.hosts[at].reader.first_page_succeeded();
+                self.hosts[at].gossip.set_initial_read(reads_on);
+                self.hosts[at].gossip.apply_partial_items(now_ms, items)
             }
             ReadStep::FirstPage | ReadStep::Snapshot => {
                 let items = self.items.clone();
                 self.hosts[at].reader.succeeded(now_ms, true);
-                let whole = Snapshot { revision, items, overwritten: Vec::new() };
-                self.hosts[at].gossip.take_whole(now_ms, whole)
+                let snapshot = Snapshot { revision, items, overwritten: Vec::new() };
+                self.hosts[at].gossip.apply_snapshot(now_ms, snapshot)
             }
             ReadStep::Changes(_) | ReadStep::Wait(_) => {
                 self.hosts[at].reader.succeeded(now_ms, false);
-                let held = self.hosts[at].gossip.picture().revision();
-                self.hosts[at].gossip.take_changes(now_ms, held, revision, &[])
+                let held = self.hosts[at].gossip.published_state().revision();
+                self.hosts[at].gossip.apply_changes(now_ms, held, revision, &[])
             }
         };
         self.carry_out(at, effects);
@@ -505,7 +505,7 @@
             true => {
                 self.work(peer, CONNECTION_US);
                 let is_free = self.hosts[peer].link_us < self.now_us + MOST_QUEUED_US;
-                let told = self.hosts[peer].gossip.tell(self.now_ms(), fetch.request);
+                let told = self.hosts[peer].gossip.reply_to_fetch(self.now_ms(), fetch.request);
                 told.filter(|_| is_free)
             }
             false => None,
