--- a/crates/published/src/gossip.rs
+++ b/crates/published/src/gossip.rs
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub struct Gossip {
     members: Members,
-    picture: PublishedState,
+    state: PublishedState,
     rng: Pcg64Mcg,
     is_fetching: bool,
     fetched_ms: Option<Millis>,
@@ -53,7 +53,7 @@
     pub fn new(own: Member, rng: Pcg64Mcg) -> Gossip {
         Gossip {
             members: Members::new(own),
-            picture: PublishedState::default(),
+            state: PublishedState::default(),
             rng,
             is_fetching: false,
             fetched_ms: None,
@@ -72,12 +72,12 @@
 
     /// What is believed to be published.
     pub fn published_state(&self) -> &PublishedState {
-        &self.picture
+        &self.state
     }
 
     /// Whether a first picture was offered and is on its way.
     pub fn is_bootstrap_pending(&self, now_ms: Millis) -> bool {
-        now_ms < self.promised_until_ms && self.picture.confirmed_ms().is_none()
+        now_ms < self.promised_until_ms && self.state.confirmed_ms().is_none()
     }
 
     /// Greets one peer, or one of the seeds: what was lost of the others' lists is made up for.
@@ -95,11 +95,11 @@
     }
 
     /// Takes a whole reading of its own, and tells the fleet.
-    pub fn apply_snapshot(&mut self, now_ms: Millis, whole: Snapshot) -> Vec<Effect> {
-        let before = self.picture.revision();
-        let state_changes = self.picture.apply_snapshot(now_ms, whole);
+    pub fn apply_snapshot(&mut self, now_ms: Millis, snapshot: Snapshot) -> Vec<Effect> {
+        let before = self.state.revision();
+        let state_changes = self.state.apply_snapshot(now_ms, snapshot);
         // Told without the changes, peers that hold less find a gap and fetch.
-        let after = if state_changes.is_empty() { before } else { self.picture.revision() };
+        let after = if state_changes.is_empty() { before } else { self.state.revision() };
         let mut effects = vec![Effect::StateUpdated { state_changes, from: Origin::Source }];
         self.set_initial_read(false);
         self.answer_waiting(now_ms, &mut effects);
@@ -115,8 +115,8 @@
         revision: Revision,
         changes: &[Change],
     ) -> Vec<Effect> {
-        let told = self.picture.with_routing_patches(changes);
-        let (state_changes, _) = self.picture.apply_changes(now_ms, after, revision, told.clone());
+        let told = self.state.with_routing_patches(changes);
+        let (state_changes, _) = self.state.apply_changes(now_ms, after, revision, told.clone());
         let mut effects = vec![Effect::StateUpdated { state_changes, from: Origin::Source }];
         self.tell_news(now_ms, after, told, &mut effects);
         effects
@@ -161,12 +161,12 @@
     /// Drops what time has settled: lapsed entries, and hosts that were silent for long.
     pub fn expire(&mut self, now_ms: Millis) -> Vec<Effect> {
         let mut effects = Vec::new();
-        let state_changes = self.picture.expire(now_ms);
+        let state_changes = self.state.expire(now_ms);
         if !state_changes.is_empty() {
             effects.push(Effect::StateUpdated { state_changes, from: Origin::Expiry });
         }
         effects.extend(self.members.expire(now_ms).into_iter().map(Effect::PeerRemoved));
-        if self.picture.is_partial() {
+        if self.state.is_partial() {
             self.fetch_from_any(now_ms, &mut effects);
         }
         effects
@@ -208,12 +208,12 @@
 
     /// What a peer lacks; none before this host holds what is wanted.
     pub fn reply_to_fetch(&self, now_ms: Millis, request: FetchRequest) -> Option<FetchReply> {
-        let age_ms = self.picture.age_ms(now_ms)?;
-        let is_help = self.picture.revision() >= request.min_revision;
+        let age_ms = self.state.age_ms(now_ms)?;
+        let is_help = self.state.revision() >= request.min_revision;
         let knows_more = request.members_digest != self.members.digest();
         is_help.then(|| FetchReply {
             age_ms,
-            catch_up: self.picture.catch_up(request.known),
+            catch_up: self.state.catch_up(request.known),
             members: if knows_more { self.members.all() } else { Vec::new() },
         })
     }
--- a/crates/published/src/gossip/joining.rs
+++ b/crates/published/src/gossip/joining.rs
@@ -90,9 +90,9 @@
 impl Gossip {
     /// Whether this host still has to find somebody who tells it the picture, or knows nobody.
     pub fn is_joining(&self, now_ms: Millis) -> bool {
-        match self.picture.confirmed_ms() {
+        match self.state.confirmed_ms() {
             Some(_) => self.members.count() <= 1,
-            None => !(self.picture.is_partial() && self.is_bootstrap_pending(now_ms)),
+            None => !(self.state.is_partial() && self.is_bootstrap_pending(now_ms)),
         }
     }
 
@@ -113,9 +113,9 @@
 
     /// Takes the beginning of a whole reading of its own: enough to serve, and to help others to.
     pub fn apply_partial_items(&mut self, now_ms: Millis, items: Vec<Entry<Item>>) -> Vec<Effect> {
-        let state_changes = self.picture.apply_items(items);
+        let state_changes = self.state.apply_items(items);
         let mut effects = vec![Effect::StateUpdated { state_changes, from: Origin::Source }];
-        if self.picture.is_partial() {
+        if self.state.is_partial() {
             self.answer_waiting(now_ms, &mut effects);
         }
         effects
@@ -132,7 +132,7 @@
         self.record(now_ms, from, effects);
         self.members.record_response(&teller);
         self.members.record_fleet_size(now_ms, host_count);
-        if self.picture.confirmed_ms().is_some() {
+        if self.state.confirmed_ms().is_some() {
             return;
         }
         match bootstrap {
@@ -173,9 +173,9 @@
         snapshot: BootstrapSnapshot,
         effects: &mut Vec<Effect>,
     ) {
-        let state_changes = self.picture.apply_bootstrap(now_ms - snapshot.age_ms, snapshot);
+        let state_changes = self.state.apply_bootstrap(now_ms - snapshot.age_ms, snapshot);
         effects.push(Effect::StateUpdated { state_changes, from: Origin::Peer(teller) });
-        if self.picture.can_bootstrap() {
+        if self.state.can_bootstrap() {
             self.answer_waiting(now_ms, effects);
         }
     }
@@ -185,7 +185,7 @@
         let others: Vec<SocketAddr> = self.members.others().map(|m| m.address).collect();
         let Some(&any) = others.choose(&mut self.rng) else { return };
         let from = self.tellers(any);
-        self.fetch_rest(now_ms, self.picture.revision(), (from, Millis::ZERO), effects);
+        self.fetch_rest(now_ms, self.state.revision(), (from, Millis::ZERO), effects);
     }
 
     fn fetch_rest(
@@ -198,7 +198,7 @@
         if self.is_fetching {
             return;
         }
-        let (known, members_digest) = (self.picture.known_revisions(), self.members.digest());
+        let (known, members_digest) = (self.state.known_revisions(), self.members.digest());
         let request = FetchRequest { known, min_revision, members_digest };
         let fetch = Fetch { from, request, delay_ms, begun_ms: now_ms, pending_update: None };
         self.begin_fetch(now_ms, fetch, effects);
--- a/crates/published/src/gossip/joining/answering.rs
+++ b/crates/published/src/gossip/joining/answering.rs
@@ -173,7 +173,7 @@
             }
         }
         let (is_reading, to) = (self.joins.is_reading, member.address);
-        let can_answer = self.picture.can_bootstrap();
+        let can_answer = self.state.can_bootstrap();
         if can_answer && self.joins.waiting.is_empty() {
             self.answer_join(now_ms, &member, is_redirected, effects);
             return;
@@ -238,7 +238,7 @@
             return REDIRECT_BYTES;
         }
         let (host, zone) = (&member.host, &member.availability_zone);
-        let snapshot = self.picture.bootstrap_for(now_ms, host, zone);
+        let snapshot = self.state.bootstrap_for(now_ms, host, zone);
         let Some(snapshot) = snapshot else { return ByteCount(0) };
         let bootstrap = match snapshot.is_complete {
             true => Bootstrap::Complete(snapshot),
@@ -261,10 +261,10 @@
             None => vec![self.members.own().address],
             Some(parent) => vec![before[parent.0], before[self.rng.random_range(0..=parent.0)]],
         };
-        let upstreams = self.picture.upstreams().count() as u64;
+        let upstreams = self.state.upstreams().count() as u64;
         let pass_on_ms = PASS_ON_MS + PASS_ON_THOUSAND_MS * upstreams / 1_000;
         // What is held here may be a beginning itself.
-        let is_late = self.picture.confirmed_ms().is_none();
+        let is_late = self.state.confirmed_ms().is_none();
         (from, Millis(pass_on_ms * (position.depth() + u64::from(is_late))))
     }
 
--- a/crates/published/src/gossip/receiving.rs
+++ b/crates/published/src/gossip/receiving.rs
@@ -31,10 +31,10 @@
         let is_full = matches!(told.catch_up, CatchUp::Snapshot(_));
         effects.push(Effect::FetchEnded { from: from.clone(), revision, is_full });
         // What is missing still shows at the next news.
-        let (state_changes, _) = self.picture.apply_catch_up(now_ms - told.age_ms, told.catch_up);
+        let (state_changes, _) = self.state.apply_catch_up(now_ms - told.age_ms, told.catch_up);
         effects.push(Effect::StateUpdated { state_changes, from });
         self.record_all(now_ms, told.members, effects);
-        if self.picture.confirmed_ms().is_some() {
+        if self.state.confirmed_ms().is_some() {
             self.answer_waiting(now_ms, effects);
         }
     }
@@ -97,8 +97,8 @@
         }
         let is_gapless = self.take_told_changes(now_ms, &update, effects);
         let differs =
-            self.picture.revision() == update.revision && self.picture.digest() != update.digest;
-        let known = self.picture.known_revisions();
+            self.state.revision() == update.revision && self.state.digest() != update.digest;
+        let known = self.state.known_revisions();
         let (min_revision, members_digest) = (update.revision, self.members.digest());
         match is_gapless {
             false => {
@@ -131,11 +131,11 @@
     ) -> bool {
         let at_ms = now_ms - update.age_ms;
         let changes = update.changes.clone().unwrap_or_default();
-        let held = self.picture.revision();
+        let held = self.state.revision();
         let is_complete = update.after <= held && update.after <= update.revision;
         let revision = if is_complete { update.revision } else { held };
         let (state_changes, is_gapless) =
-            self.picture.apply_changes(at_ms, update.after, revision, changes);
+            self.state.apply_changes(at_ms, update.after, revision, changes);
         effects.push(Effect::StateUpdated {
             state_changes,
             from: Origin::Peer(update.reader.host.clone()),
@@ -169,7 +169,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let is_early = self.fetched_ms.is_some_and(|at_ms| now_ms.since(at_ms) < FETCH_PAUSE_MS)
-            && self.picture.confirmed_ms().is_some();
+            && self.state.confirmed_ms().is_some();
         if is_early || self.is_fetching {
             pending_update.into_iter().for_each(|update| self.pass_on_news(update, effects));
             return;
@@ -193,7 +193,7 @@
         let mut neighbours = self.members.local_zone_peers();
         let (near, _) = neighbours.partial_shuffle(&mut self.rng, MOST_NEIGHBOURS);
         let near = near.iter().copied().filter(|&address| address != teller);
-        match self.picture.confirmed_ms() {
+        match self.state.confirmed_ms() {
             None => near.chain([teller]).collect(),
             Some(_) => std::iter::once(teller).chain(near).collect(),
         }
--- a/crates/published/src/gossip/sending.rs
+++ b/crates/published/src/gossip/sending.rs
@@ -23,8 +23,8 @@
 
     /// A host that is new is told that there is a picture to be had here.
     pub(super) fn offer(&self, now_ms: Millis, to: SocketAddr, effects: &mut Vec<Effect>) {
-        if self.picture.confirmed_ms().is_some() {
-            let update = self.update(now_ms, self.picture.revision(), None);
+        if self.state.confirmed_ms().is_some() {
+            let update = self.update(now_ms, self.state.revision(), None);
             self.send(Message::StateUpdate { update, should_relay: false }, vec![to], effects);
         }
     }
@@ -33,9 +33,9 @@
     fn update(&self, now_ms: Millis, after: Revision, changes: Option<Vec<Change>>) -> StateUpdate {
         StateUpdate {
             reader: self.members.own().clone(),
-            revision: self.picture.revision(),
-            age_ms: self.picture.age_ms(now_ms).unwrap_or_default(),
-            digest: self.picture.digest(),
+            revision: self.state.revision(),
+            age_ms: self.state.age_ms(now_ms).unwrap_or_default(),
+            digest: self.state.digest(),
             after,
             changes,
         }
--- a/crates/published/src/reading.rs
+++ b/crates/published/src/reading.rs
@@ -131,21 +131,21 @@
         &mut self,
         now_ms: Millis,
         members: &Members,
-        picture: &PublishedState,
+        state: &PublishedState,
         is_wanted: bool,
     ) -> ReadStep {
         let samples = is_wanted && self.may_sample && !self.has_first;
-        let due_ms = match picture.confirmed_ms() {
+        let due_ms = match state.confirmed_ms() {
             None if samples => self.started_ms + SAMPLE_WAIT_MS,
-            _ => self.due_ms(now_ms, members, picture),
+            _ => self.due_ms(now_ms, members, state),
         };
-        let due_ms = due_ms.max(self.not_before_ms).max(self.hold(now_ms, members, picture));
+        let due_ms = due_ms.max(self.not_before_ms).max(self.hold(now_ms, members, state));
         if due_ms > now_ms {
             return ReadStep::Wait(due_ms);
         }
         self.is_reading = true;
         self.hold = None;
-        match picture.confirmed_ms() {
+        match state.confirmed_ms() {
             None if samples => ReadStep::Sample,
             None if !self.has_first => ReadStep::FirstPage,
             None => ReadStep::Snapshot,
@@ -196,8 +196,8 @@
         self.needs_whole = true;
     }
 
-    fn due_ms(&mut self, now_ms: Millis, members: &Members, picture: &PublishedState) -> Millis {
-        let Some(confirmed_ms) = picture.confirmed_ms() else {
+    fn due_ms(&mut self, now_ms: Millis, members: &Members, state: &PublishedState) -> Millis {
+        let Some(confirmed_ms) = state.confirmed_ms() else {
             let rest_ms = if self.has_first { self.rest_wait_ms } else { Millis::ZERO };
             return self.started_ms + self.start_wait_ms + rest_ms;
         };
@@ -216,13 +216,13 @@
 
     /// While the source is away for all, the hosts' tries are spread at random over the time
     /// in which each is to try once. Any reading that is heard of ends that.
-    fn hold(&mut self, now_ms: Millis, members: &Members, picture: &PublishedState) -> Millis {
+    fn hold(&mut self, now_ms: Millis, members: &Members, state: &PublishedState) -> Millis {
         // A source that told that its history is gone is there.
         if self.needs_whole {
             self.hold = None;
             return Millis::ZERO;
         }
-        let confirmed_ms = picture.confirmed_ms();
+        let confirmed_ms = state.confirmed_ms();
         self.hold = self.hold.filter(|hold| hold.confirmed_ms == confirmed_ms);
         if self.hold.is_none() && members.failed_readers(now_ms) >= AWAY_AT {
             let longest_ms = AWAY_TRY_MS.0 * u64::from(members.count());
--- a/crates/published/src/state.rs
+++ b/crates/published/src/state.rs
@@ -1,10 +1,9 @@
-//! The picture: what this process believes to be published.
+//! The state that this host knows to be published.
 //!
-//! It is fed whole readings and changes, by its own reader or by peers, in any order and
-//! more than once. Each key moves forward by its own revision only. A removal is final
-//! at once in calm times; one that is seen just after the source came back from an
-//! outage waits for [`REREGISTRATION_GRACE_MS`], since entries lapse while instances can't renew
-//! them.
+//! Full snapshots and changes are merged in, read by this host or sent by peers, in any order
+//! and more than once. The entry of each key is replaced only by one of a newer revision. A
+//! removal takes effect at once, except just after an outage of the source: entries expire
+//! there while instances can't renew them, so it then waits for [`REREGISTRATION_GRACE_MS`].
 
 mod bootstrap;
 mod catch_up;
@@ -23,15 +22,15 @@
 use domain::{FastMap, FastSet, Millis, UpstreamId};
 use std::sync::Arc;
 
-/// Without a confirmed reading for so long, entries may have lapsed at the source: they do
-/// after three heartbeat intervals of 1.5 s, of which one may have passed before.
+/// Time without a confirmed read after which entries may have expired at the source: they do
+/// after three heartbeat intervals of 1.5 s, one of which may have passed before.
 pub const SOURCE_OUTAGE_MS: Millis = Millis(2_200);
 
-/// Entries that lapsed are registered anew within this time of the source's return: two
-/// seconds by the platform's word, and a tenth for the way.
+/// Time after the source's return within which expired entries are registered again: two
+/// seconds as the platform specifies, and a tenth for the transfer.
 pub const REREGISTRATION_GRACE_MS: Millis = Millis(2_200);
 
-/// What is believed to be published.
+/// The state that this host knows to be published.
 #[derive(Debug, Default)]
 pub struct PublishedState {
     routing: Option<Entry<Arc<Routing>>>,
@@ -41,10 +40,10 @@
     lapsed: FastMap<UpstreamId, Lapsed>,
     revision: Revision,
     confirmed_ms: Option<Millis>,
-    returned_ms: Option<Millis>,
-    /// The difference that made the routing in force, if it came as one.
+    source_returned_ms: Option<Millis>,
+    /// The patch that made the routing in force, if it came as one.
     last_patch: Option<Entry<RoutingPatch>>,
-    /// Every removal after this is among the tombstones.
+    /// All removals after this revision have a tombstone here.
     removals_since: Revision,
 }
 
@@ -54,37 +53,38 @@
         self.routing.as_ref()
     }
 
-    /// An upstream's entry.
+    /// Returns an upstream's entry.
     pub fn upstream(&self, id: &UpstreamId) -> Option<&Entry<Arc<Upstream>>> {
         self.upstreams.get(id)
     }
 
-    /// All entries.
+    /// All upstreams' entries, lapsed ones included.
     pub fn upstreams(&self) -> impl Iterator<Item = &Entry<Arc<Upstream>>> {
         self.upstreams.values()
     }
 
-    /// No change up to here is missing.
+    /// The revision up to which no change is missing.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Last time at which nothing newer than [`PublishedState::revision`] was published.
+    /// The last time at which nothing newer than [`PublishedState::revision`] was published.
     pub fn confirmed_ms(&self) -> Option<Millis> {
         self.confirmed_ms
     }
 
-    /// Age of the belief; none before the first reading.
+    /// Time since the last confirmation, if there was one.
     pub fn age_ms(&self, now_ms: Millis) -> Option<Millis> {
         self.confirmed_ms.map(|at_ms| now_ms.since(at_ms))
     }
 
-    /// Equal for equal sets of entries and routing: finds what a revision alone can't tell.
+    /// Digest of the routing and all entries. It differs where two hosts have the same revision but
+    /// different entries.
     ///
-    /// What lapsed is not published, so it doesn't count: hosts give it up at different moments.
+    /// Lapsed entries don't count: hosts drop them at different times.
     pub fn digest(&self) -> u64 {
         let routing = self.routing.as_ref().map_or(0, |entry| entry.revision.0);
-        let upstreams = self.present().map(|entry| entry.revision);
+        let upstreams = self.unlapsed_upstreams().map(|entry| entry.revision);
         let evacuations = self.evacuations.in_force().map(|(_, revision)| revision);
         let mix = |sum: u64, revision: Revision| {
             sum.wrapping_add(revision.0.wrapping_mul(0x9e37_79b9_7f4a_7c15))
@@ -92,15 +92,15 @@
         upstreams.chain(evacuations).fold(routing, mix)
     }
 
-    /// All entries but those that lapsed.
-    fn present(&self) -> impl Iterator<Item = &Entry<Arc<Upstream>>> {
+    /// The upstreams' entries except lapsed ones.
+    fn unlapsed_upstreams(&self) -> impl Iterator<Item = &Entry<Arc<Upstream>>> {
         self.upstreams.values().filter(|entry| !self.lapsed.contains_key(&entry.value.id))
     }
 
-    /// Everything, for a peer. What lapsed is left out: a peer that holds it waits for its
-    /// return by itself, one that doesn't would wait for ever.
+    /// A full snapshot for a peer, without lapsed entries: a peer that has one drops it after its
+    /// own grace period, a peer that has not would never drop it.
     pub fn snapshot(&self) -> Snapshot {
-        let upstreams = self.present().map(|entry| Entry {
+        let upstreams = self.unlapsed_upstreams().map(|entry| Entry {
             revision: entry.revision,
             value: Item::Upstream(Arc::clone(&entry.value)),
         });
@@ -116,51 +116,51 @@
         Snapshot { revision: self.revision, items, overwritten }
     }
 
-    /// Notes that at `at_ms` nothing newer than `revision` was published.
+    /// Records that nothing newer than `revision` was published at `at_ms`.
     ///
-    /// Only a picture that holds all up to `revision` is confirmed by it.
+    /// Does nothing if changes up to `revision` are missing here.
     pub fn confirm(&mut self, at_ms: Millis, revision: Revision) {
         if revision > self.revision {
             return;
         }
-        self.note_return(at_ms);
+        self.detect_source_return(at_ms);
         self.confirmed_ms = self.confirmed_ms.max(Some(at_ms));
     }
 
-    /// Takes a whole reading, made at `at_ms`.
-    pub fn apply_snapshot(&mut self, at_ms: Millis, whole: Snapshot) -> Vec<StateChange> {
-        self.note_return(at_ms);
+    /// Merges a full snapshot, read at `at_ms`.
+    pub fn apply_snapshot(&mut self, at_ms: Millis, snapshot: Snapshot) -> Vec<StateChange> {
+        self.detect_source_return(at_ms);
         let mut state_changes = Vec::new();
-        let is_newest = whole.revision >= self.revision;
+        let is_newest = snapshot.revision >= self.revision;
         if self.confirmed_ms.is_none() {
-            self.removals_since = whole.revision;
+            self.removals_since = snapshot.revision;
         }
-        for removal in &whole.overwritten {
+        for removal in &snapshot.overwritten {
             self.remove(at_ms, removal.clone(), &mut state_changes);
         }
-        let missing = if is_newest { self.missing_from(&whole) } else { Vec::new() };
-        let ended = if is_newest { self.evacuations_missing_from(&whole) } else { Vec::new() };
-        for entry in whole.items {
+        let missing = if is_newest { self.upstreams_missing_from(&snapshot) } else { Vec::new() };
+        let ended = if is_newest { self.evacuations_missing_from(&snapshot) } else { Vec::new() };
+        for entry in snapshot.items {
             self.write(entry, &mut state_changes);
         }
         for upstream in missing {
             let cause = RemovalCause::Deleted;
-            let removal = Removal { upstream, revision: whole.revision, cause };
+            let removal = Removal { upstream, revision: snapshot.revision, cause };
             self.remove(at_ms, removal, &mut state_changes);
         }
         for zone in ended {
-            let revision = whole.revision;
+            let revision = snapshot.revision;
             self.end_evacuation(at_ms, EvacuationEnd { zone, revision }, &mut state_changes);
         }
-        self.revision = self.revision.max(whole.revision);
-        self.confirm(at_ms, whole.revision);
+        self.revision = self.revision.max(snapshot.revision);
+        self.confirm(at_ms, snapshot.revision);
         state_changes
     }
 
-    /// Takes all changes after `after` up to `revision`, known at `at_ms`.
+    /// Merges all changes after `after` up to `revision`, as known at `at_ms`.
     ///
-    /// Returns false beside the beliefs where changes before `after` are missing here: each
-    /// is taken all the same, but the picture has a gap until a whole reading.
+    /// The flag returned is false if changes before `after` are missing here. All changes are
+    /// applied nevertheless, but the gap remains until a full snapshot is merged.
     pub fn apply_changes(
         &mut self,
         at_ms: Millis,
@@ -168,7 +168,7 @@
         revision: Revision,
         changes: Vec<Change>,
     ) -> (Vec<StateChange>, bool) {
-        self.note_return(at_ms);
+        self.detect_source_return(at_ms);
         let mut state_changes = Vec::new();
         let mut is_gapless = after <= self.revision;
         for change in changes {
@@ -186,19 +186,19 @@
         (state_changes, is_gapless)
     }
 
-    /// Takes what a peer told of what was missing, known to it at `at_ms`.
+    /// Merges a peer's answer to a fetch, as known to the peer at `at_ms`.
     ///
-    /// Returns false beside the beliefs where something is missing still.
+    /// The flag returned is false if changes are still missing.
     pub fn apply_catch_up(&mut self, at_ms: Millis, catch_up: CatchUp) -> (Vec<StateChange>, bool) {
         match catch_up {
-            CatchUp::Snapshot(whole) => (self.apply_snapshot(at_ms, whole), true),
+            CatchUp::Snapshot(snapshot) => (self.apply_snapshot(at_ms, snapshot), true),
             CatchUp::Changes { after, revision, changes } => {
                 self.apply_changes(at_ms, after, revision, changes)
             }
         }
     }
 
-    /// Drops lapsed entries whose time to come back is over.
+    /// Removes lapsed entries after their grace period, and old tombstones.
     pub fn expire(&mut self, now_ms: Millis) -> Vec<StateChange> {
         let is_over = |lapsed: &Lapsed| lapsed.until_ms <= now_ms;
         let over: Vec<Removal> = self
@@ -225,19 +225,19 @@
         self.removed.retain(|_, tombstone| !is_old(tombstone));
     }
 
-    fn note_return(&mut self, at_ms: Millis) {
+    fn detect_source_return(&mut self, at_ms: Millis) {
         if self.confirmed_ms.is_some_and(|last| at_ms.since(last) > SOURCE_OUTAGE_MS) {
-            self.returned_ms = Some(at_ms);
+            self.source_returned_ms = Some(at_ms);
         }
     }
 
-    fn missing_from(&self, whole: &Snapshot) -> Vec<UpstreamId> {
+    fn upstreams_missing_from(&self, snapshot: &Snapshot) -> Vec<UpstreamId> {
         let upstream_id = |entry: &'_ Entry<Item>| match &entry.value {
             Item::Upstream(upstream) => Some(upstream.id.clone()),
             Item::Routing(_) | Item::Evacuation(_) => None,
         };
-        let listed: FastSet<UpstreamId> = whole.items.iter().filter_map(upstream_id).collect();
-        let is_covered = |entry: &Entry<Arc<Upstream>>| entry.revision <= whole.revision;
+        let listed: FastSet<UpstreamId> = snapshot.items.iter().filter_map(upstream_id).collect();
+        let is_covered = |entry: &Entry<Arc<Upstream>>| entry.revision <= snapshot.revision;
         self.upstreams
             .iter()
             .filter(|(id, entry)| is_covered(entry) && !listed.contains(*id))
--- a/crates/published/src/state/catch_up.rs
+++ b/crates/published/src/state/catch_up.rs
@@ -45,7 +45,7 @@
     pub fn revision(&self) -> Revision {
         match self {
             CatchUp::Changes { revision, .. } => *revision,
-            CatchUp::Snapshot(whole) => whole.revision,
+            CatchUp::Snapshot(snapshot) => snapshot.revision,
         }
     }
 }
@@ -60,7 +60,7 @@
     /// What a peer needs that holds so much.
     pub fn catch_up(&self, held: KnownRevisions) -> CatchUp {
         match held.revision < self.removals_since {
-            true => CatchUp::Snapshot(self.whole_without(held.routing)),
+            true => CatchUp::Snapshot(self.snapshot_without(held.routing)),
             false => CatchUp::Changes {
                 after: held.revision,
                 revision: self.revision,
@@ -69,13 +69,13 @@
         }
     }
 
-    fn whole_without(&self, routing: Option<Revision>) -> Snapshot {
-        let mut whole = self.snapshot();
+    fn snapshot_without(&self, routing: Option<Revision>) -> Snapshot {
+        let mut snapshot = self.snapshot();
         let is_held = |entry: &Entry<Item>| {
             matches!(entry.value, Item::Routing(_)) && routing >= Some(entry.revision)
         };
-        whole.items.retain(|entry| !is_held(entry));
-        whole
+        snapshot.items.retain(|entry| !is_held(entry));
+        snapshot
     }
 
     fn changes_since(&self, held: KnownRevisions) -> Vec<Change> {
--- a/crates/published/src/state/entries.rs
+++ b/crates/published/src/state/entries.rs
@@ -100,7 +100,7 @@
         if held.revision > removal.revision {
             return;
         }
-        let grace_end_ms = self.returned_ms.map(|at_ms| at_ms + REREGISTRATION_GRACE_MS);
+        let grace_end_ms = self.source_returned_ms.map(|at_ms| at_ms + REREGISTRATION_GRACE_MS);
         match grace_end_ms.filter(|&end_ms| now_ms < end_ms) {
             Some(until_ms)
                 if held.value.mode == UpstreamMode::Ready
--- a/crates/published/src/state/evacuated.rs
+++ b/crates/published/src/state/evacuated.rs
@@ -27,15 +27,15 @@
     }
 
     /// Evacuations that are held, and that a whole reading no longer names.
-    pub(super) fn evacuations_missing_from(&self, whole: &Snapshot) -> Vec<ZoneName> {
+    pub(super) fn evacuations_missing_from(&self, snapshot: &Snapshot) -> Vec<ZoneName> {
         let zone = |entry: &'_ Entry<Item>| match &entry.value {
             Item::Evacuation(zone) => Some(zone.clone()),
             Item::Routing(_) | Item::Upstream(_) => None,
         };
-        let listed: FastSet<ZoneName> = whole.items.iter().filter_map(zone).collect();
+        let listed: FastSet<ZoneName> = snapshot.items.iter().filter_map(zone).collect();
         let in_force = self.evacuations.in_force();
         let missing = in_force
-            .filter(|(zone, revision)| *revision <= whole.revision && !listed.contains(*zone));
+            .filter(|(zone, revision)| *revision <= snapshot.revision && !listed.contains(*zone));
         missing.map(|(zone, _)| zone.clone()).collect()
     }
 
--- a/crates/published/src/state/routing.rs
+++ b/crates/published/src/state/routing.rs
@@ -1,19 +1,21 @@
-//! The picture's routing, taken whole or as its difference from the one before.
+//! The published routing, replaced as a whole or by a patch.
 
 use super::PublishedState;
 use crate::{Change, Entry, Item, Routing, RoutingPatch, StateChange};
 use std::sync::Arc;
 
 impl PublishedState {
-    /// False if the routing that the patch is for is not held.
+    /// Returns false if the patch's base is not the routing in force.
     pub(super) fn patch(
         &mut self,
         entry: &Entry<RoutingPatch>,
         state_changes: &mut Vec<StateChange>,
     ) -> bool {
         let patched = match &self.routing {
-            Some(held) if held.revision >= entry.revision => return true,
-            Some(held) if held.revision == entry.value.base => entry.value.apply(&held.value),
+            Some(current) if current.revision >= entry.revision => return true,
+            Some(current) if current.revision == entry.value.base => {
+                entry.value.apply(&current.value)
+            }
             _ => return false,
         };
         let value = Arc::new(patched);
@@ -22,15 +24,15 @@
         true
     }
 
-    /// The same changes with the routing told as its difference from the one held now.
+    /// Replaces each routing in `changes` by a patch of the one before it, where that is possible.
     pub fn with_routing_patches(&self, changes: &[Change]) -> Vec<Change> {
-        let mut held = self.routing.clone();
+        let mut current = self.routing.clone();
         let patch = |change: &Change| {
             let Change::Written(Entry { revision, value: Item::Routing(routing) }) = change else {
                 return change.clone();
             };
             let entry = Entry { revision: *revision, value: Arc::clone(routing) };
-            let old = held.replace(entry).filter(|old| old.revision < *revision);
+            let old = current.replace(entry).filter(|old| old.revision < *revision);
             let value =
                 old.and_then(|old| RoutingPatch::between(old.revision, &old.value, routing));
             match value {
@@ -48,9 +50,9 @@
     ) {
         let version = entry.value.version;
         match &self.routing {
-            Some(held) if held.revision >= entry.revision => {}
-            Some(held) if held.value.version > version => {
-                let in_force = held.value.version;
+            Some(current) if current.revision >= entry.revision => {}
+            Some(current) if current.value.version > version => {
+                let in_force = current.value.version;
                 state_changes.push(StateChange::RoutingRefused { version, in_force });
             }
             _ => {
