--- a/crates/published/src/state/bootstrap.rs
+++ b/crates/published/src/state/bootstrap.rs
@@ -1,9 +1,8 @@
-//! What a host needs to serve before it holds the whole picture.
+//! What a host needs to serve requests before it has the full snapshot.
 //!
-//! The routing, the zones that are evacuated and the upstreams that it prefers fit one datagram,
-//! whatever the size of the fleet. A host of a tenth of a core behind 20 Mbit/s serves 20 ms after
-//! it is told them; for the whole picture of a thousand upstreams it needs some hundred
-//! milliseconds, and the host that tells it as long again for each host that asks.
+//! The routing, the evacuated zones and the upstreams that it prefers fit one datagram, whatever
+//! the size of the fleet. Fetching the full snapshot takes much longer over a slow link, both for
+//! the new host and for the host that sends it to many.
 
 use super::PublishedState;
 use crate::preference::{PreferredCounts, preferred_upstreams};
@@ -12,44 +11,44 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Most upstreams of a picture that is told whole in a datagram: four kilobytes, with the routing
-/// well within it.
-const MOST_TOLD_WHOLE: usize = 72;
+/// Largest number of upstreams that are sent in one datagram as the complete state: four
+/// kilobytes, with the routing well within it.
+const MAX_COMPLETE_UPSTREAMS: usize = 72;
 
-/// Most upstreams of a first picture that is not whole: a host that hundreds ask at the same time
-/// sends two of them a millisecond over 20 Mbit/s.
-const MOST_UPSTREAMS: usize = 24;
+/// Largest number of upstreams in an incomplete bootstrap snapshot: a host that hundreds ask at
+/// once can send two of them a millisecond over 20 Mbit/s.
+const MAX_PARTIAL_UPSTREAMS: usize = 24;
 
-/// Most routes of a routing that is told in a first picture. A larger one has to be fetched.
-const MOST_ROUTES: usize = 40;
+/// Largest number of routes in a bootstrap snapshot. A larger routing has to be fetched.
+const MAX_ROUTES: usize = 40;
 
-/// What a host prefers of each service, as long as that fits: to ask three and send to the best,
-/// and to go elsewhere when its own availability zone has no room.
-const PREFERRED: PreferredCounts = PreferredCounts { local_zone: 5, other_zones: 3 };
+/// Upstreams of each service that are sent if they fit: enough to probe three and choose the best,
+/// and to use another zone when the local one has no capacity.
+const PREFERRED_COUNTS: PreferredCounts = PreferredCounts { local_zone: 5, other_zones: 3 };
 
-/// What a host begins to serve with.
+/// What a host starts serving with.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BootstrapSnapshot {
-    /// Age of the reading.
+    /// Time since the state was last confirmed.
     pub age_ms: Millis,
-    /// No change up to here is missing from the whole picture that this is taken from.
+    /// The revision up to which the state that this is taken from misses no change.
     pub revision: Revision,
-    /// The routing, the evacuations and some upstreams; nothing if the routing alone is too large.
+    /// The routing, the evacuations and some upstreams; empty if the routing alone is too large.
     pub items: Vec<Entry<Item>>,
-    /// Whether that is the whole picture.
+    /// Whether `items` is everything that is published.
     pub is_complete: bool,
 }
 
 impl BootstrapSnapshot {
-    /// The same for a host that has to fetch everything.
+    /// The same without items, for a host that has to fetch everything.
     pub fn without_items(&self) -> BootstrapSnapshot {
         BootstrapSnapshot { items: Vec::new(), is_complete: false, ..*self }
     }
 }
 
 impl PublishedState {
-    /// What a host of an availability zone begins with; none before a routing is held here, or it
-    /// is known that none is published yet.
+    /// Returns what a host in a zone starts with; `None` if neither a routing nor a full snapshot
+    /// has arrived here yet.
     pub fn bootstrap_for(
         &self,
         now_ms: Millis,
@@ -60,16 +59,18 @@
             return None;
         }
         let (age_ms, revision) = (self.age_ms(now_ms).unwrap_or_default(), self.revision);
-        let none = BootstrapSnapshot { age_ms, revision, items: Vec::new(), is_complete: false };
+        let without_items =
+            BootstrapSnapshot { age_ms, revision, items: Vec::new(), is_complete: false };
         let routing = self.routing.as_ref();
-        if routing.is_some_and(|entry| entry.value.routes.len() > MOST_ROUTES) {
-            return Some(none);
+        if routing.is_some_and(|entry| entry.value.routes.len() > MAX_ROUTES) {
+            return Some(without_items);
         }
-        let is_small = self.upstreams.len() <= MOST_TOLD_WHOLE && self.lapsed.is_empty();
-        let is_complete = is_small && self.confirmed_ms.is_some();
+        let fits_datagram =
+            self.upstreams.len() <= MAX_COMPLETE_UPSTREAMS && self.lapsed.is_empty();
+        let is_complete = fits_datagram && self.confirmed_ms.is_some();
         let upstreams = match is_complete {
             true => self.upstreams.values().cloned().collect(),
-            false => self.preferred_by(host, zone),
+            false => self.upstreams_preferred_by(host, zone),
         };
         let routing = routing.map(|entry| Entry {
             revision: entry.revision,
@@ -86,36 +87,40 @@
                 .chain(upstreams)
                 .collect(),
             is_complete,
-            ..none
+            ..without_items
         })
     }
 
-    /// Upstreams of each service that a host prefers, as many as fit.
-    fn preferred_by(&self, host: &HostId, zone: &ZoneName) -> Vec<Entry<Arc<Upstream>>> {
+    /// The upstreams of each service that a host prefers, as many as fit.
+    fn upstreams_preferred_by(&self, host: &HostId, zone: &ZoneName) -> Vec<Entry<Arc<Upstream>>> {
         let mut services: FastMap<&ServiceName, Vec<&Upstream>> = FastMap::default();
         for entry in self.upstreams.values() {
             if entry.value.eligibility(&self.evacuations) == Eligibility::Eligible {
                 services.entry(&entry.value.service).or_default().push(&entry.value);
             }
         }
-        let each = MOST_UPSTREAMS / services.len().max(1);
-        let most = PreferredCounts {
-            local_zone: PREFERRED.local_zone.min(each.div_ceil(2)),
-            other_zones: PREFERRED.other_zones.min(each / 2),
+        let per_service = MAX_PARTIAL_UPSTREAMS / services.len().max(1);
+        let counts = PreferredCounts {
+            local_zone: PREFERRED_COUNTS.local_zone.min(per_service.div_ceil(2)),
+            other_zones: PREFERRED_COUNTS.other_zones.min(per_service / 2),
         };
         let chosen = services
             .into_values()
-            .flat_map(|upstreams| preferred_upstreams(host, zone, most, upstreams.into_iter()));
+            .flat_map(|upstreams| preferred_upstreams(host, zone, counts, upstreams.into_iter()));
         chosen
-            .take(MOST_UPSTREAMS)
+            .take(MAX_PARTIAL_UPSTREAMS)
             .filter_map(|upstream| self.upstreams.get(&upstream.id))
             .cloned()
             .collect()
     }
 
-    /// Takes a first picture, known at `at_ms`. One that is not whole confirms nothing.
-    pub fn apply_bootstrap(&mut self, at_ms: Millis, first: BootstrapSnapshot) -> Vec<StateChange> {
-        let BootstrapSnapshot { revision, items, is_complete, .. } = first;
+    /// Merges a bootstrap snapshot, as known at `at_ms`. An incomplete one confirms nothing.
+    pub fn apply_bootstrap(
+        &mut self,
+        at_ms: Millis,
+        bootstrap: BootstrapSnapshot,
+    ) -> Vec<StateChange> {
+        let BootstrapSnapshot { revision, items, is_complete, .. } = bootstrap;
         if is_complete {
             return self
                 .apply_snapshot(at_ms, Snapshot { revision, items, overwritten: Vec::new() });
@@ -123,7 +128,7 @@
         self.apply_items(items)
     }
 
-    /// Takes a part of what is published, to begin with.
+    /// Merges a part of what is published.
     pub fn apply_items(&mut self, items: Vec<Entry<Item>>) -> Vec<StateChange> {
         let mut state_changes = Vec::new();
         for entry in items {
@@ -132,12 +137,12 @@
         state_changes
     }
 
-    /// Whether others can begin with what is held.
+    /// Whether other hosts can be given a bootstrap snapshot from this state.
     pub fn can_bootstrap(&self) -> bool {
         self.routing.is_some() || self.confirmed_ms.is_some()
     }
 
-    /// Whether requests can be served with what is held, though it is not the whole picture.
+    /// Whether there is a routing to serve with, but no full snapshot yet.
     pub fn is_partial(&self) -> bool {
         self.routing.is_some() && self.confirmed_ms.is_none()
     }
--- a/crates/published/src/state/catch_up.rs
+++ b/crates/published/src/state/catch_up.rs
@@ -1,47 +1,47 @@
-//! What a peer needs to hold what this host holds.
+//! Finds what a peer lacks of this host's state.
 //!
-//! A host that missed news asks a peer. It says what it holds and is told what came since:
-//! on a fleet of 124 hosts whole pictures were 22 of 31 MB between availability zones.
+//! A host that missed changes fetches them from a peer. It sends the revisions that it has, so that
+//! the peer need not send a full snapshot, which would be costly between availability zones.
 
 use super::PublishedState;
 use crate::{Change, Entry, Item, Revision, Routing, Snapshot};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// What a picture holds, for a peer that is asked for the rest.
+/// The revisions that a host has, sent to a peer to fetch what is newer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownRevisions {
-    /// No change up to here is missing.
+    /// The revision up to which no change is missing.
     pub revision: Revision,
-    /// The routing in force.
+    /// The revision of the routing in force.
     pub routing: Option<Revision>,
 }
 
 impl KnownRevisions {
-    /// The same, but for entries: all of them are wanted.
+    /// The same, requesting all upstreams and evacuations again.
     pub fn without_upstreams(self) -> KnownRevisions {
         KnownRevisions { revision: Revision(0), ..self }
     }
 }
 
-/// What is to be taken over from a peer.
+/// What a peer sends to a host that lacks something.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum CatchUp {
-    /// All that changed after `after`, up to `revision`.
+    /// All changes after `after`, up to `revision`.
     Changes {
-        /// What the asking host held.
+        /// The revision that the host had.
         after: Revision,
-        /// What the peer holds.
+        /// The revision that the peer has.
         revision: Revision,
-        /// The changes.
+        /// The changes, in no particular order.
         changes: Vec<Change>,
     },
-    /// All entries; a routing that the asking host holds too is left out.
+    /// A full snapshot, without the routing if the host has it.
     Snapshot(Snapshot),
 }
 
 impl CatchUp {
-    /// What the peer holds.
+    /// The revision that the peer has.
     pub fn revision(&self) -> Revision {
         match self {
             CatchUp::Changes { revision, .. } => *revision,
@@ -51,57 +51,57 @@
 }
 
 impl PublishedState {
-    /// What this picture holds.
+    /// The revisions of this state.
     pub fn known_revisions(&self) -> KnownRevisions {
         let routing = self.routing.as_ref().map(|entry| entry.revision);
         KnownRevisions { revision: self.revision, routing }
     }
 
-    /// What a peer needs that holds so much.
-    pub fn catch_up(&self, held: KnownRevisions) -> CatchUp {
-        match held.revision < self.removals_since {
-            true => CatchUp::Snapshot(self.snapshot_without(held.routing)),
+    /// Returns what a peer with the given revisions lacks.
+    pub fn catch_up(&self, known: KnownRevisions) -> CatchUp {
+        match known.revision < self.removals_since {
+            true => CatchUp::Snapshot(self.snapshot_without(known.routing)),
             false => CatchUp::Changes {
-                after: held.revision,
+                after: known.revision,
                 revision: self.revision,
-                changes: self.changes_since(held),
+                changes: self.changes_since(known),
             },
         }
     }
 
     fn snapshot_without(&self, routing: Option<Revision>) -> Snapshot {
         let mut snapshot = self.snapshot();
-        let is_held = |entry: &Entry<Item>| {
+        let is_known = |entry: &Entry<Item>| {
             matches!(entry.value, Item::Routing(_)) && routing >= Some(entry.revision)
         };
-        snapshot.items.retain(|entry| !is_held(entry));
+        snapshot.items.retain(|entry| !is_known(entry));
         snapshot
     }
 
-    fn changes_since(&self, held: KnownRevisions) -> Vec<Change> {
-        let is_news = |revision: Revision| revision > held.revision;
-        let written = self.upstreams.values().filter(|entry| is_news(entry.revision));
+    fn changes_since(&self, known: KnownRevisions) -> Vec<Change> {
+        let is_newer = |revision: Revision| revision > known.revision;
+        let written = self.upstreams.values().filter(|entry| is_newer(entry.revision));
         let written = written.map(|entry| {
             let value = Item::Upstream(Arc::clone(&entry.value));
             Change::Written(Entry { revision: entry.revision, value })
         });
         let removed = self.removed.iter().map(|(id, tombstone)| tombstone.removal(id));
-        // Who is told of a lapse waits for the return by itself.
+        // The peer waits for a lapsed entry's return on its own.
         let lapsed = self.lapsed.iter().map(|(id, lapsed)| lapsed.removal(id));
-        let removed = removed.chain(lapsed).filter(|removal| is_news(removal.revision));
+        let removed = removed.chain(lapsed).filter(|removal| is_newer(removal.revision));
         let removed = removed.map(Change::Removed);
-        let evacuated = self.evacuations_in_force().filter(|entry| is_news(entry.revision));
-        let ended = self.evacuations.ended().filter(|end| is_news(end.revision));
+        let evacuated = self.evacuations_in_force().filter(|entry| is_newer(entry.revision));
+        let ended = self.evacuations.ended().filter(|end| is_newer(end.revision));
         let evacuations = evacuated.map(Change::Written).chain(ended.map(Change::EvacuationEnded));
-        let routing = self.routing.as_ref().filter(|entry| held.routing < Some(entry.revision));
-        let routing = routing.map(|entry| self.routing_since(entry, held.routing));
+        let routing = self.routing.as_ref().filter(|entry| known.routing < Some(entry.revision));
+        let routing = routing.map(|entry| self.routing_since(entry, known.routing));
         routing.into_iter().chain(evacuations).chain(written).chain(removed).collect()
     }
 
-    /// The routing, as its difference where that is known.
-    fn routing_since(&self, entry: &Entry<Arc<Routing>>, held: Option<Revision>) -> Change {
+    /// The routing, as a patch if the peer has the patch's base.
+    fn routing_since(&self, entry: &Entry<Arc<Routing>>, known: Option<Revision>) -> Change {
         let is_last = |patch: &&Entry<crate::RoutingPatch>| {
-            patch.revision == entry.revision && Some(patch.value.base) == held
+            patch.revision == entry.revision && Some(patch.value.base) == known
         };
         match self.last_patch.as_ref().filter(is_last) {
             Some(patch) => Change::Patched(patch.clone()),
