--- a/crates/published/src/state/entries.rs
+++ b/crates/published/src/state/entries.rs
@@ -1,5 +1,5 @@
-//! The picture's entries: each moves forward by its own revision, and an end is remembered for a
-//! while against late news.
+//! Upstreams' entries: each is replaced only by a newer revision, and a removal leaves a tombstone
+//! for a while, so that an older write that arrives late doesn't bring the entry back.
 
 use super::{PublishedState, REREGISTRATION_GRACE_MS};
 use crate::{
@@ -12,7 +12,7 @@
 pub(super) struct Tombstone {
     pub(super) revision: Revision,
     pub(super) cause: RemovalCause,
-    /// The run whose entry was removed, as far as it was held.
+    /// The run whose entry was removed, if it is known.
     run: RunStart,
     pub(super) since_ms: Millis,
 }
@@ -23,7 +23,7 @@
     }
 
     /// Whether an entry is older than the removal, or of a run before the one that was removed.
-    fn buries(self, entry: &Entry<Arc<Upstream>>) -> bool {
+    fn covers(self, entry: &Entry<Arc<Upstream>>) -> bool {
         self.revision >= entry.revision || self.run.is_after(entry.value.run)
     }
 }
@@ -41,7 +41,7 @@
     }
 }
 
-/// Tombstones guard against late news of removed entries; no news is older than this.
+/// How long tombstones are kept: no message arrives later than this.
 pub(super) const TOMBSTONE_MS: Millis = Millis(60_000);
 
 impl PublishedState {
@@ -51,18 +51,18 @@
         state_changes: &mut Vec<StateChange>,
     ) {
         let (id, revision) = (entry.value.id.clone(), entry.revision);
-        let is_buried = self.removed.get(&id).is_some_and(|tombstone| tombstone.buries(&entry));
-        let held = self.upstreams.get(&id);
-        if is_buried || held.is_some_and(|held| !replaces(&entry, held)) {
+        let is_removed = self.removed.get(&id).is_some_and(|tombstone| tombstone.covers(&entry));
+        let current = self.upstreams.get(&id);
+        if is_removed || current.is_some_and(|current| !replaces(&entry, current)) {
             return;
         }
-        let entry = with_known_start(entry, held);
-        match held {
-            Some(held) if entry.value.is_later_run_than(&held.value) => {
+        let entry = with_known_start(entry, current);
+        match current {
+            Some(current) if entry.value.is_later_run_than(&current.value) => {
                 state_changes.push(StateChange::UpstreamRestarted {
                     upstream: id.clone(),
                     revision,
-                    former_start_ms: held.value.run,
+                    former_start_ms: current.value.run,
                     start_ms: entry.value.run,
                 });
             }
@@ -72,9 +72,9 @@
             self.lapsed.remove(&id);
             state_changes.push(StateChange::UpstreamReturned { upstream: id.clone(), revision });
         }
-        let was = held.map(|held| held.value.mode);
+        let former_mode = current.map(|current| current.value.mode);
         match entry.value.mode {
-            mode if was == Some(mode) => {}
+            mode if former_mode == Some(mode) => {}
             UpstreamMode::Ready => {
                 state_changes.push(StateChange::UpstreamJoined { upstream: id.clone(), revision });
             }
@@ -82,7 +82,7 @@
                 state_changes.push(StateChange::UpstreamLeaving { upstream: id.clone(), revision });
             }
         }
-        // From here on the newer entry guards against late news.
+        // From here on the revision of the new entry rejects late messages.
         self.removed.remove(&id);
         self.upstreams.insert(id, entry);
     }
@@ -93,17 +93,17 @@
         removal: Removal,
         state_changes: &mut Vec<StateChange>,
     ) {
-        let Some(held) = self.upstreams.get(&removal.upstream) else {
-            self.bury(now_ms, &removal);
+        let Some(current) = self.upstreams.get(&removal.upstream) else {
+            self.record_tombstone(now_ms, &removal);
             return;
         };
-        if held.revision > removal.revision {
+        if current.revision > removal.revision {
             return;
         }
         let grace_end_ms = self.source_returned_ms.map(|at_ms| at_ms + REREGISTRATION_GRACE_MS);
         match grace_end_ms.filter(|&end_ms| now_ms < end_ms) {
             Some(until_ms)
-                if held.value.mode == UpstreamMode::Ready
+                if current.value.mode == UpstreamMode::Ready
                     && removal.cause == RemovalCause::Deleted =>
             {
                 self.lapse(removal, until_ms, state_changes);
@@ -126,7 +126,7 @@
         removal: Removal,
         state_changes: &mut Vec<StateChange>,
     ) {
-        self.bury(now_ms, &removal);
+        self.record_tombstone(now_ms, &removal);
         self.lapsed.remove(&removal.upstream);
         if self.upstreams.remove(&removal.upstream).is_some() {
             let Removal { upstream, revision, cause } = removal;
@@ -134,34 +134,35 @@
         }
     }
 
-    fn bury(&mut self, now_ms: Millis, removal: &Removal) {
-        let held = self.upstreams.get(&removal.upstream).map(|held| held.value.run);
+    fn record_tombstone(&mut self, now_ms: Millis, removal: &Removal) {
+        let current = self.upstreams.get(&removal.upstream).map(|current| current.value.run);
         let former = self.removed.get(&removal.upstream);
         if former.is_some_and(|former| former.revision > removal.revision) {
             return;
         }
-        let run = held.unwrap_or_default().or(former.map(|former| former.run).unwrap_or_default());
+        let run =
+            current.unwrap_or_default().or(former.map(|former| former.run).unwrap_or_default());
         let Removal { revision, cause, .. } = *removal;
         let tombstone = Tombstone { revision, cause, run, since_ms: now_ms };
         self.removed.insert(removal.upstream.clone(), tombstone);
     }
 }
 
-/// Whether an entry takes the place of the one that is held. A later run always does, an
-/// earlier one never: its last words may be written late.
-fn replaces(entry: &Entry<Arc<Upstream>>, held: &Entry<Arc<Upstream>>) -> bool {
-    if entry.value.is_later_run_than(&held.value) {
+/// Whether an entry replaces the current one. A later run always does, an earlier one never, even
+/// with a greater revision: its last write may have been delayed.
+fn replaces(entry: &Entry<Arc<Upstream>>, current: &Entry<Arc<Upstream>>) -> bool {
+    if entry.value.is_later_run_than(&current.value) {
         return true;
     }
-    !held.value.is_later_run_than(&entry.value) && entry.revision >= held.revision
+    !current.value.is_later_run_than(&entry.value) && entry.revision >= current.revision
 }
 
-/// The entry with the start of its run, where only an earlier entry of that run told it.
+/// Adds the start of the run to an entry that lacks it, if the current entry has it.
 fn with_known_start(
     mut entry: Entry<Arc<Upstream>>,
-    held: Option<&Entry<Arc<Upstream>>>,
+    current: Option<&Entry<Arc<Upstream>>>,
 ) -> Entry<Arc<Upstream>> {
-    let known = held.map(|held| held.value.run).unwrap_or_default();
+    let known = current.map(|current| current.value.run).unwrap_or_default();
     if entry.value.run.0.is_none() && known.0.is_some() {
         Arc::make_mut(&mut entry.value).run = known;
     }
--- a/crates/published/src/state/evacuated.rs
+++ b/crates/published/src/state/evacuated.rs
@@ -1,4 +1,4 @@
-//! The picture's evacuated zones: what peers are told of them, and how they end.
+//! Evacuated zones of the published state.
 
 use super::PublishedState;
 use crate::{Entry, EvacuationEnd, Evacuations, Item, Revision, Snapshot, StateChange, Upstream};
@@ -6,12 +6,12 @@
 use std::sync::Arc;
 
 impl PublishedState {
-    /// The availability zones that are evacuated.
+    /// The evacuated availability zones.
     pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
-    /// How many upstreams stand in an availability zone.
+    /// Number of upstreams in an availability zone.
     pub fn upstreams_in(&self, zone: &ZoneName) -> usize {
         let is_there = |entry: &&Entry<Arc<Upstream>>| entry.value.availability_zone == *zone;
         self.upstreams.values().filter(is_there).count()
@@ -26,7 +26,7 @@
         self.evacuations.in_force().map(entry)
     }
 
-    /// Evacuations that are held, and that a whole reading no longer names.
+    /// The evacuations in force that a snapshot no longer contains.
     pub(super) fn evacuations_missing_from(&self, snapshot: &Snapshot) -> Vec<ZoneName> {
         let zone = |entry: &'_ Entry<Item>| match &entry.value {
             Item::Evacuation(zone) => Some(zone.clone()),
