--- a/crates/published/src/gossip/effect.rs
+++ b/crates/published/src/gossip/effect.rs
@@ -1,4 +1,4 @@
-//! What follows from a message or a reading.
+//! What the caller has to do after a message, a read or the passage of time.
 
 use super::{Message, StateUpdate};
 use crate::{CatchUp, KnownRevisions, Member, Revision, StateChange};
@@ -6,65 +6,65 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What is to be done, or to be logged.
+/// An action for the caller, or a fact for its log.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Send this.
+    /// Send a message.
     Send {
-        /// What.
+        /// The message.
         message: Message,
-        /// To whom.
+        /// Its recipients.
         to: Vec<SocketAddr>,
     },
-    /// Ask for what is missing, then hand it to [`Gossip::finish_fetch`].
+    /// Fetch what is missing, then call [`Gossip::finish_fetch`].
     Fetch(Fetch),
-    /// Something else is believed, or the same was confirmed.
+    /// The published state changed or was confirmed.
     StateUpdated {
-        /// What changed; nothing if it was confirmed.
+        /// The changes; empty if the state was only confirmed.
         state_changes: Vec<StateChange>,
-        /// Where it comes from.
+        /// Where they came from.
         from: Origin,
     },
-    /// What a fetch came to.
+    /// A fetch ended.
     FetchEnded {
-        /// Whom it was asked of.
+        /// The host that answered, or the last one that was asked.
         from: Origin,
-        /// What it told; none if it did not answer.
+        /// The revision of the answer; `None` if no host answered.
         revision: Option<Revision>,
-        /// Whether all entries were told, or only what changed.
+        /// Whether the answer was a full snapshot rather than changes.
         is_full: bool,
     },
-    /// Hosts were heard of for the first time, or in a new run.
+    /// Hosts, or new runs of hosts, were seen for the first time.
     PeersDiscovered(Vec<HostId>),
-    /// Have more hosts answered that join, by [`Gossip::answer_pending_joins`], after this time.
+    /// Call [`Gossip::answer_pending_joins`] after this delay.
     AnswerPendingJoins {
-        /// The time.
+        /// The delay.
         delay_ms: Millis,
     },
-    /// Have those logged and announced that joined, by [`Gossip::announce_joined`], after this time.
+    /// Call [`Gossip::announce_joined`] after this delay.
     AnnounceJoined {
-        /// The time.
+        /// The delay.
         delay_ms: Millis,
     },
-    /// A host left or was silent for long.
+    /// A host left, or was silent for too long.
     PeerRemoved(HostId),
 }
 
-/// Where a change of belief comes from.
+/// Where a change of the published state comes from.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Origin {
     /// This host read it.
     Source,
-    /// A peer told it.
+    /// A peer sent it.
     Peer(HostId),
-    /// A host that is not known told it.
+    /// A host that is not a known member sent it.
     UnknownPeer,
-    /// Time has passed.
+    /// A grace period ended.
     Expiry,
 }
 
 impl Origin {
-    /// Its name in logs.
+    /// The name used in logs.
     pub fn as_str(&self) -> &str {
         match self {
             Origin::Source => "source",
@@ -79,38 +79,38 @@
     }
 }
 
-/// A question for what is missing.
+/// A fetch of what is missing.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fetch {
-    /// Whom to ask, one after the other until one answers.
+    /// Hosts to ask, one after the other until one answers.
     pub from: Vec<SocketAddr>,
-    /// What is asked.
+    /// The request to send.
     pub request: FetchRequest,
-    /// When to begin: whom to ask is being told itself.
+    /// Delay before the first request: the hosts may still be receiving the snapshot themselves.
     pub delay_ms: Millis,
     pub(super) begun_ms: Millis,
-    /// What is to be passed on once nothing is missing.
+    /// An update to relay once the fetch has ended.
     pub(super) pending_update: Option<StateUpdate>,
 }
 
-/// What a host asks that misses something.
+/// A request for what a host lacks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FetchRequest {
-    /// What it holds.
+    /// The revisions that the host has.
     pub known: KnownRevisions,
-    /// Who holds less than this is no help.
+    /// A peer with a smaller revision doesn't answer.
     pub min_revision: Revision,
-    /// Digest of the hosts that it knows.
+    /// Digest of the members that the host knows.
     pub members_digest: u64,
 }
 
-/// The answer to a [`Fetch`].
+/// The answer to a [`FetchRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FetchReply {
-    /// Age of the reading.
+    /// Time since the peer's state was last confirmed.
     pub age_ms: Millis,
-    /// What the asking host lacked.
+    /// What the requesting host lacked.
     pub catch_up: CatchUp,
-    /// Hosts that the peer knows; none if both know the same.
+    /// The members that the peer knows; empty if both know the same.
     pub members: Vec<Member>,
 }
--- a/crates/published/src/gossip/joining.rs
+++ b/crates/published/src/gossip/joining.rs
@@ -104,8 +104,8 @@
         }
         // Hosts that start together don't all ask the same.
         let first = self.members.own().seed() as usize;
-        let seed = seeds[first.wrapping_add(self.seeds_asked) % seeds.len()];
-        self.seeds_asked += 1;
+        let seed = seeds[first.wrapping_add(self.joins_sent) % seeds.len()];
+        self.joins_sent += 1;
         let from = self.members.own().clone();
         self.send(Message::Join { from, is_redirected: false }, vec![seed], &mut effects);
         effects
@@ -116,12 +116,12 @@
         let state_changes = self.state.apply_items(items);
         let mut effects = vec![Effect::StateUpdated { state_changes, from: Origin::Source }];
         if self.state.is_partial() {
-            self.answer_waiting(now_ms, &mut effects);
+            self.answer_next_joins(now_ms, &mut effects);
         }
         effects
     }
 
-    pub(super) fn take_join_reply(
+    pub(super) fn handle_join_reply(
         &mut self,
         now_ms: Millis,
         reply: JoinReply,
@@ -129,17 +129,21 @@
     ) {
         let JoinReply { from, host_count, bootstrap } = reply;
         let teller = from.host.clone();
-        self.record(now_ms, from, effects);
+        self.record_member(now_ms, from, effects);
         self.members.record_response(&teller);
         self.members.record_fleet_size(now_ms, host_count);
         if self.state.confirmed_ms().is_some() {
             return;
         }
         match bootstrap {
-            Bootstrap::NotReady { is_reading: true } => self.promise(now_ms, READING_MS),
-            Bootstrap::NotReady { is_reading: false } => self.promise(now_ms, NOT_READING_MS),
+            Bootstrap::NotReady { is_reading: true } => {
+                self.extend_bootstrap_wait(now_ms, READING_MS)
+            }
+            Bootstrap::NotReady { is_reading: false } => {
+                self.extend_bootstrap_wait(now_ms, NOT_READING_MS)
+            }
             Bootstrap::Redirect { to } => {
-                self.promise(now_ms, READING_MS);
+                self.extend_bootstrap_wait(now_ms, READING_MS);
                 let from = self.members.own().clone();
                 self.send(Message::Join { from, is_redirected: true }, vec![to], effects);
             }
@@ -151,7 +155,7 @@
                 self.apply_bootstrap(now_ms, teller, snapshot, effects);
             }
             Bootstrap::Partial { snapshot, rest_from, after_ms } => {
-                self.promise(now_ms, REST_MS);
+                self.extend_bootstrap_wait(now_ms, REST_MS);
                 let wanted = snapshot.revision;
                 self.apply_bootstrap(now_ms, teller, snapshot, effects);
                 self.fetch_rest(now_ms, wanted, (rest_from, after_ms), effects);
@@ -160,10 +164,10 @@
     }
 
     /// Something of the first picture is on its way; promises don't go on for ever.
-    pub(super) fn promise(&mut self, now_ms: Millis, for_ms: Millis) {
-        let first_ms = *self.promised_ms.get_or_insert(now_ms);
+    pub(super) fn extend_bootstrap_wait(&mut self, now_ms: Millis, for_ms: Millis) {
+        let first_ms = *self.promised_at_ms.get_or_insert(now_ms);
         let until_ms = (now_ms + for_ms).min(first_ms + REST_MS);
-        self.promised_until_ms = self.promised_until_ms.max(until_ms);
+        self.wait_until_ms = self.wait_until_ms.max(until_ms);
     }
 
     fn apply_bootstrap(
@@ -176,7 +180,7 @@
         let state_changes = self.state.apply_bootstrap(now_ms - snapshot.age_ms, snapshot);
         effects.push(Effect::StateUpdated { state_changes, from: Origin::Peer(teller) });
         if self.state.can_bootstrap() {
-            self.answer_waiting(now_ms, effects);
+            self.answer_next_joins(now_ms, effects);
         }
     }
 
@@ -184,7 +188,7 @@
     pub(super) fn fetch_from_any(&mut self, now_ms: Millis, effects: &mut Vec<Effect>) {
         let others: Vec<SocketAddr> = self.members.others().map(|m| m.address).collect();
         let Some(&any) = others.choose(&mut self.rng) else { return };
-        let from = self.tellers(any);
+        let from = self.fetch_candidates(any);
         self.fetch_rest(now_ms, self.state.revision(), (from, Millis::ZERO), effects);
     }
 
--- a/crates/published/src/gossip/joining/answering.rs
+++ b/crates/published/src/gossip/joining/answering.rs
@@ -113,7 +113,7 @@
     }
 
     /// What another host announces need not be announced here too.
-    pub(in crate::gossip) fn note_announced(&mut self, members: &[Member]) {
+    pub(in crate::gossip) fn remove_announced(&mut self, members: &[Member]) {
         self.unannounced.retain(|member| !members.contains(member));
     }
 
@@ -150,12 +150,12 @@
         let members = std::mem::take(&mut self.joins.unannounced);
         if (1..=MOST_ANNOUNCED).contains(&members.len()) {
             let known = |should_relay| Message::Members { members: members.clone(), should_relay };
-            self.tell_fleet(now_ms, known, &mut effects);
+            self.broadcast(now_ms, known, &mut effects);
         }
         effects
     }
 
-    pub(in crate::gossip) fn take_join(
+    pub(in crate::gossip) fn handle_join(
         &mut self,
         now_ms: Millis,
         member: Member,
@@ -186,7 +186,11 @@
 
     /// Answers some of those that wait, as far as something is held, the most capable first: the
     /// others take their copies.
-    pub(in crate::gossip) fn answer_waiting(&mut self, now_ms: Millis, effects: &mut Vec<Effect>) {
+    pub(in crate::gossip) fn answer_next_joins(
+        &mut self,
+        now_ms: Millis,
+        effects: &mut Vec<Effect>,
+    ) {
         if self.joins.waiting.is_empty() || self.joins.is_answering {
             return;
         }
@@ -214,7 +218,7 @@
     pub fn answer_pending_joins(&mut self, now_ms: Millis) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.joins.is_answering = false;
-        self.answer_waiting(now_ms, &mut effects);
+        self.answer_next_joins(now_ms, &mut effects);
         effects
     }
 
--- a/crates/published/src/gossip/message.rs
+++ b/crates/published/src/gossip/message.rs
@@ -1,53 +1,53 @@
-//! What hosts tell each other.
+//! Messages between hosts.
 
 use super::JoinReply;
 use crate::{Change, Member, Revision};
 use domain::{HostId, Incarnation, Millis};
 use serde::{Deserialize, Serialize};
 
-/// A message that may be lost, doubled, late or out of order.
+/// A message that may be lost, duplicated, delayed or reordered.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// A host that has just started wants a first picture.
+    /// A host that has just started requests a bootstrap snapshot.
     Join {
-        /// Itself.
+        /// The joining host.
         from: Member,
-        /// Whether another host sent it here, so that it is not sent on again.
+        /// Whether another host redirected it here, so that it is not redirected again.
         is_redirected: bool,
     },
-    /// The answer to it.
+    /// The answer to a `Join`.
     JoinReply(Box<JoinReply>),
-    /// A host is there.
+    /// A host is alive.
     Hello {
-        /// Itself.
+        /// The sender.
         from: Member,
-        /// What it wants.
+        /// What it expects in return.
         kind: HelloKind,
-        /// Digest of the hosts that it knows; equal sets need not be told.
+        /// Digest of the hosts that it knows; equal sets are not exchanged.
         members_digest: u64,
     },
-    /// Hosts that are known.
+    /// Hosts that the sender knows.
     Members {
         /// Some of them.
         members: Vec<Member>,
-        /// Whether the host that hears it is to pass it on in its availability zone.
+        /// Whether the receiver relays it within its availability zone.
         should_relay: bool,
     },
-    /// What a host read.
+    /// What a host read from the source.
     StateUpdate {
-        /// What it read.
+        /// The state that it read.
         update: StateUpdate,
-        /// Whether the host that hears it is to pass it on in its availability zone.
+        /// Whether the receiver relays it within its availability zone.
         should_relay: bool,
     },
-    /// A host could not read: others need not try at once.
+    /// A host failed to read the source, so that others don't all try at once.
     ReadFailed {
-        /// Which.
+        /// The host.
         reader: Member,
-        /// Whether the host that hears it is to pass it on in its availability zone.
+        /// Whether the receiver relays it within its availability zone.
         should_relay: bool,
     },
-    /// A host leaves.
+    /// A host leaves the fleet.
     Leave {
         /// Its id.
         host: HostId,
@@ -56,36 +56,36 @@
     },
 }
 
-/// What a greeting is for.
+/// What the sender of a hello expects in return.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HelloKind {
-    /// To be told of others and of the picture, if the two hosts know different ones.
+    /// Members and state, if the two hosts know different members.
     Request,
-    /// It answers one that asked, and wants the same.
+    /// The receiver's members, if they still differ; sent in answer to a `Request`.
     Reply,
-    /// It shows that the host is there.
+    /// Nothing: it only shows that the sender is alive.
     Alive,
 }
 
-/// What a host read from the source, told by itself or passed on.
+/// What a host read from the source, sent by that host or relayed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StateUpdate {
     /// The host that read it.
     pub reader: Member,
-    /// Nothing newer than this was published, so long ago.
+    /// The newest published revision at the time of the read.
     pub revision: Revision,
-    /// Age of the reading.
+    /// Time since the read.
     pub age_ms: Millis,
-    /// Digest of the reader's picture.
+    /// Digest of the reader's state.
     pub digest: u64,
-    /// `changes` holds all after this.
+    /// `changes` holds all changes after this revision.
     pub after: Revision,
-    /// The changes; none from a host that only offers what it holds.
+    /// The changes; `None` from a host that only offers the state that it has.
     pub changes: Option<Vec<Change>>,
 }
 
 impl StateUpdate {
-    /// The same for hosts that fetch what they lack: the changes are too large to be told.
+    /// The same without changes that are too large for a datagram; receivers fetch them.
     pub fn without_changes(&self) -> StateUpdate {
         StateUpdate { after: self.revision, changes: Some(Vec::new()), ..self.clone() }
     }
--- a/crates/published/src/gossip/receiving.rs
+++ b/crates/published/src/gossip/receiving.rs
@@ -19,7 +19,7 @@
 const MOST_NEIGHBOURS: usize = 8;
 
 impl Gossip {
-    pub(super) fn catch_up(
+    pub(super) fn apply_fetch_reply(
         &mut self,
         now_ms: Millis,
         teller: SocketAddr,
@@ -33,13 +33,13 @@
         // What is missing still shows at the next news.
         let (state_changes, _) = self.state.apply_catch_up(now_ms - told.age_ms, told.catch_up);
         effects.push(Effect::StateUpdated { state_changes, from });
-        self.record_all(now_ms, told.members, effects);
+        self.record_members(now_ms, told.members, effects);
         if self.state.confirmed_ms().is_some() {
-            self.answer_waiting(now_ms, effects);
+            self.answer_next_joins(now_ms, effects);
         }
     }
 
-    pub(super) fn take_hello(
+    pub(super) fn handle_hello(
         &mut self,
         now_ms: Millis,
         from: Member,
@@ -48,21 +48,21 @@
         effects: &mut Vec<Effect>,
     ) {
         let host = from.host.clone();
-        self.record(now_ms, from, effects);
+        self.record_member(now_ms, from, effects);
         self.members.record_response(&host);
         let knows_others = members_digest != self.members.digest();
         match kind {
             HelloKind::Request if knows_others => {
-                self.tell_members(sender, effects);
-                self.send(self.hello(HelloKind::Reply), vec![sender], effects);
-                self.offer(now_ms, sender, effects);
+                self.send_members(sender, effects);
+                self.send(self.hello_message(HelloKind::Reply), vec![sender], effects);
+                self.offer_state(now_ms, sender, effects);
             }
-            HelloKind::Reply if knows_others => self.tell_members(sender, effects),
+            HelloKind::Reply if knows_others => self.send_members(sender, effects),
             HelloKind::Request | HelloKind::Reply | HelloKind::Alive => {}
         }
     }
 
-    pub(super) fn take_known(
+    pub(super) fn handle_members(
         &mut self,
         now_ms: Millis,
         members: Vec<Member>,
@@ -70,15 +70,15 @@
         teller: SocketAddr,
         effects: &mut Vec<Effect>,
     ) {
-        self.joins.note_announced(&members);
-        self.record_all(now_ms, members.clone(), effects);
+        self.joins.remove_announced(&members);
+        self.record_members(now_ms, members.clone(), effects);
         if should_relay {
-            self.send(self.hello(HelloKind::Alive), vec![teller], effects);
-            self.pass_on(Message::Members { members, should_relay: false }, effects);
+            self.send(self.hello_message(HelloKind::Alive), vec![teller], effects);
+            self.relay(Message::Members { members, should_relay: false }, effects);
         }
     }
 
-    pub(super) fn take_news(
+    pub(super) fn handle_state_update(
         &mut self,
         now_ms: Millis,
         update: StateUpdate,
@@ -86,16 +86,16 @@
         teller: SocketAddr,
         effects: &mut Vec<Effect>,
     ) {
-        self.record(now_ms, update.reader.clone(), effects);
-        self.promise(now_ms, OFFER_MS);
+        self.record_member(now_ms, update.reader.clone(), effects);
+        self.extend_bootstrap_wait(now_ms, OFFER_MS);
         // Only a host that reads tells changes, even none; one that offers tells none.
         if update.changes.is_some() {
             self.members.record_read(now_ms, &update.reader.host);
         }
         if should_relay {
-            self.send(self.hello(HelloKind::Alive), vec![teller], effects);
+            self.send(self.hello_message(HelloKind::Alive), vec![teller], effects);
         }
-        let is_gapless = self.take_told_changes(now_ms, &update, effects);
+        let is_gapless = self.apply_update_changes(now_ms, &update, effects);
         let differs =
             self.state.revision() == update.revision && self.state.digest() != update.digest;
         let known = self.state.known_revisions();
@@ -116,14 +116,14 @@
                     self.fetch(now_ms, teller, request, None, effects);
                 }
                 if should_relay {
-                    self.pass_on_news(update, effects);
+                    self.relay_update(update, effects);
                 }
             }
         }
     }
 
     /// False if something before them is missing.
-    fn take_told_changes(
+    fn apply_update_changes(
         &mut self,
         now_ms: Millis,
         update: &StateUpdate,
@@ -143,7 +143,7 @@
         is_gapless && is_complete
     }
 
-    pub(super) fn take_unread(
+    pub(super) fn handle_read_failed(
         &mut self,
         now_ms: Millis,
         reader: Member,
@@ -151,11 +151,11 @@
         teller: SocketAddr,
         effects: &mut Vec<Effect>,
     ) {
-        self.record(now_ms, reader.clone(), effects);
+        self.record_member(now_ms, reader.clone(), effects);
         self.members.record_failed_read(now_ms, &reader.host);
         if should_relay {
-            self.send(self.hello(HelloKind::Alive), vec![teller], effects);
-            self.pass_on(Message::ReadFailed { reader, should_relay: false }, effects);
+            self.send(self.hello_message(HelloKind::Alive), vec![teller], effects);
+            self.relay(Message::ReadFailed { reader, should_relay: false }, effects);
         }
     }
 
@@ -168,13 +168,13 @@
         pending_update: Option<StateUpdate>,
         effects: &mut Vec<Effect>,
     ) {
-        let is_early = self.fetched_ms.is_some_and(|at_ms| now_ms.since(at_ms) < FETCH_PAUSE_MS)
+        let is_early = self.last_fetch_ms.is_some_and(|at_ms| now_ms.since(at_ms) < FETCH_PAUSE_MS)
             && self.state.confirmed_ms().is_some();
         if is_early || self.is_fetching {
-            pending_update.into_iter().for_each(|update| self.pass_on_news(update, effects));
+            pending_update.into_iter().for_each(|update| self.relay_update(update, effects));
             return;
         }
-        let from = self.tellers(teller);
+        let from = self.fetch_candidates(teller);
         let (begun_ms, delay_ms) = (now_ms, Millis::ZERO);
         let fetch = Fetch { from, request, delay_ms, begun_ms, pending_update };
         self.begin_fetch(now_ms, fetch, effects);
@@ -182,14 +182,14 @@
 
     pub(super) fn begin_fetch(&mut self, now_ms: Millis, fetch: Fetch, effects: &mut Vec<Effect>) {
         self.is_fetching = true;
-        self.fetched_ms = Some(now_ms);
+        self.last_fetch_ms = Some(now_ms);
         effects.push(Effect::Fetch(fetch));
     }
 
     /// Whom to ask: who told of it, then neighbours that may hold it by now, as a host tells
     /// few at once what is large. For a first picture neighbours come first: they have the
     /// same, and their bytes are not paid for.
-    pub(super) fn tellers(&mut self, teller: SocketAddr) -> Vec<SocketAddr> {
+    pub(super) fn fetch_candidates(&mut self, teller: SocketAddr) -> Vec<SocketAddr> {
         let mut neighbours = self.members.local_zone_peers();
         let (near, _) = neighbours.partial_shuffle(&mut self.rng, MOST_NEIGHBOURS);
         let near = near.iter().copied().filter(|&address| address != teller);
@@ -199,11 +199,16 @@
         }
     }
 
-    pub(super) fn record(&mut self, now_ms: Millis, member: Member, effects: &mut Vec<Effect>) {
-        self.record_all(now_ms, vec![member], effects);
+    pub(super) fn record_member(
+        &mut self,
+        now_ms: Millis,
+        member: Member,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.record_members(now_ms, vec![member], effects);
     }
 
-    fn record_all(&mut self, now_ms: Millis, members: Vec<Member>, effects: &mut Vec<Effect>) {
+    fn record_members(&mut self, now_ms: Millis, members: Vec<Member>, effects: &mut Vec<Effect>) {
         let mut heard = Vec::new();
         for member in members {
             let peer = member.host.clone();
--- a/crates/published/src/gossip/sending.rs
+++ b/crates/published/src/gossip/sending.rs
@@ -9,12 +9,12 @@
 const MEMBERS_TOLD: usize = 100;
 
 impl Gossip {
-    pub(super) fn hello(&self, kind: HelloKind) -> Message {
+    pub(super) fn hello_message(&self, kind: HelloKind) -> Message {
         let members_digest = self.members.digest();
         Message::Hello { from: self.members.own().clone(), kind, members_digest }
     }
 
-    pub(super) fn tell_members(&self, to: SocketAddr, effects: &mut Vec<Effect>) {
+    pub(super) fn send_members(&self, to: SocketAddr, effects: &mut Vec<Effect>) {
         for some in self.members.all().chunks(MEMBERS_TOLD) {
             let known = Message::Members { members: some.to_vec(), should_relay: false };
             self.send(known, vec![to], effects);
@@ -22,15 +22,20 @@
     }
 
     /// A host that is new is told that there is a picture to be had here.
-    pub(super) fn offer(&self, now_ms: Millis, to: SocketAddr, effects: &mut Vec<Effect>) {
+    pub(super) fn offer_state(&self, now_ms: Millis, to: SocketAddr, effects: &mut Vec<Effect>) {
         if self.state.confirmed_ms().is_some() {
-            let update = self.update(now_ms, self.state.revision(), None);
+            let update = self.state_update(now_ms, self.state.revision(), None);
             self.send(Message::StateUpdate { update, should_relay: false }, vec![to], effects);
         }
     }
 
     /// What this host holds, as news.
-    fn update(&self, now_ms: Millis, after: Revision, changes: Option<Vec<Change>>) -> StateUpdate {
+    fn state_update(
+        &self,
+        now_ms: Millis,
+        after: Revision,
+        changes: Option<Vec<Change>>,
+    ) -> StateUpdate {
         StateUpdate {
             reader: self.members.own().clone(),
             revision: self.state.revision(),
@@ -41,20 +46,20 @@
         }
     }
 
-    pub(super) fn tell_news(
+    pub(super) fn broadcast_update(
         &mut self,
         now_ms: Millis,
         after: Revision,
         changes: Vec<Change>,
         effects: &mut Vec<Effect>,
     ) {
-        let update = self.update(now_ms, after, Some(changes));
+        let update = self.state_update(now_ms, after, Some(changes));
         let told = |should_relay| Message::StateUpdate { update: update.clone(), should_relay };
-        self.tell_fleet(now_ms, told, effects);
+        self.broadcast(now_ms, told, effects);
     }
 
     /// Tells this zone itself, and the others through a few of their hosts.
-    pub(super) fn tell_fleet(
+    pub(super) fn broadcast(
         &mut self,
         now_ms: Millis,
         message: impl Fn(bool) -> Message,
@@ -68,12 +73,12 @@
         }
     }
 
-    pub(super) fn pass_on_news(&self, update: StateUpdate, effects: &mut Vec<Effect>) {
-        self.pass_on(Message::StateUpdate { update, should_relay: false }, effects);
+    pub(super) fn relay_update(&self, update: StateUpdate, effects: &mut Vec<Effect>) {
+        self.relay(Message::StateUpdate { update, should_relay: false }, effects);
     }
 
     /// Tells the other hosts of this zone what a host of another zone told.
-    pub(super) fn pass_on(&self, message: Message, effects: &mut Vec<Effect>) {
+    pub(super) fn relay(&self, message: Message, effects: &mut Vec<Effect>) {
         let neighbours = self.members.local_zone_peers().into_iter();
         let to = neighbours.chain(self.members.leaving_local_zone_peers()).collect();
         self.send(message, to, effects);
