--- a/crates/published/src/gossip/sending.rs
+++ b/crates/published/src/gossip/sending.rs
@@ -1,12 +1,12 @@
-//! What a host says, and to whom.
+//! Messages that a host sends, and their recipients.
 
 use super::{Effect, Gossip, HelloKind, Message, StateUpdate};
 use crate::{Change, Recipient, Revision};
 use domain::Millis;
 use std::net::SocketAddr;
 
-/// Members told in one message: five kilobytes.
-const MEMBERS_TOLD: usize = 100;
+/// Members in one message: about five kilobytes.
+const MEMBERS_PER_MESSAGE: usize = 100;
 
 impl Gossip {
     pub(super) fn hello_message(&self, kind: HelloKind) -> Message {
@@ -15,13 +15,13 @@
     }
 
     pub(super) fn send_members(&self, to: SocketAddr, effects: &mut Vec<Effect>) {
-        for some in self.members.all().chunks(MEMBERS_TOLD) {
-            let known = Message::Members { members: some.to_vec(), should_relay: false };
-            self.send(known, vec![to], effects);
+        for chunk in self.members.all().chunks(MEMBERS_PER_MESSAGE) {
+            let message = Message::Members { members: chunk.to_vec(), should_relay: false };
+            self.send(message, vec![to], effects);
         }
     }
 
-    /// A host that is new is told that there is a picture to be had here.
+    /// Tells a new host that it can fetch the published state here.
     pub(super) fn offer_state(&self, now_ms: Millis, to: SocketAddr, effects: &mut Vec<Effect>) {
         if self.state.confirmed_ms().is_some() {
             let update = self.state_update(now_ms, self.state.revision(), None);
@@ -29,7 +29,7 @@
         }
     }
 
-    /// What this host holds, as news.
+    /// This host's state, as an update.
     fn state_update(
         &self,
         now_ms: Millis,
@@ -54,21 +54,22 @@
         effects: &mut Vec<Effect>,
     ) {
         let update = self.state_update(now_ms, after, Some(changes));
-        let told = |should_relay| Message::StateUpdate { update: update.clone(), should_relay };
-        self.broadcast(now_ms, told, effects);
+        let message = |should_relay| Message::StateUpdate { update: update.clone(), should_relay };
+        self.broadcast(now_ms, message, effects);
     }
 
-    /// Tells this zone itself, and the others through a few of their hosts.
+    /// Sends a message to the hosts of the local zone, and through relays to those of other zones.
     pub(super) fn broadcast(
         &mut self,
         now_ms: Millis,
         message: impl Fn(bool) -> Message,
         effects: &mut Vec<Effect>,
     ) {
-        let listeners = self.members.recipients(now_ms);
+        let recipients = self.members.recipients(now_ms);
         for should_relay in [true, false] {
-            let told = listeners.iter().filter(|listener| listener.should_relay == should_relay);
-            let to = told.map(|&Recipient { address, .. }| address).collect();
+            let selected =
+                recipients.iter().filter(|recipient| recipient.should_relay == should_relay);
+            let to = selected.map(|&Recipient { address, .. }| address).collect();
             self.send(message(should_relay), to, effects);
         }
     }
@@ -77,14 +78,14 @@
         self.relay(Message::StateUpdate { update, should_relay: false }, effects);
     }
 
-    /// Tells the other hosts of this zone what a host of another zone told.
+    /// Forwards a message from another zone to the hosts of the local zone.
     pub(super) fn relay(&self, message: Message, effects: &mut Vec<Effect>) {
-        let neighbours = self.members.local_zone_peers().into_iter();
-        let to = neighbours.chain(self.members.leaving_local_zone_peers()).collect();
+        let local_peers = self.members.local_zone_peers().into_iter();
+        let to = local_peers.chain(self.members.leaving_local_zone_peers()).collect();
         self.send(message, to, effects);
     }
 
-    /// A host that stops says nothing but farewell: its peers count on it no more.
+    /// Queues a message, unless this host has announced its exit: peers no longer count on it.
     pub(super) fn send(&self, message: Message, to: Vec<SocketAddr>, effects: &mut Vec<Effect>) {
         if !self.is_leaving && !to.is_empty() {
             effects.push(Effect::Send { message, to });
