--- a/crates/dispatch/src/fleet_rate/sharing.rs
+++ b/crates/dispatch/src/fleet_rate/sharing.rs
@@ -1,7 +1,7 @@
 //! Whose part of the fleet's rate is whose: each host's own, or lent to a scheduler.
 
 use super::budget::{FleetRate, RateBudget};
-use crate::scheduler::{Asker, Cell};
+use crate::scheduler::{Cell, Requester};
 use crate::subset::FleetShape;
 use crate::upstream_set::UpstreamSet;
 use domain::{FastMap, HostId, Millis, ServiceName, UpstreamId};
@@ -158,12 +158,12 @@
 /// Hosts that hand their requests to a scheduler, and lend it their shares.
 #[derive(Debug, Default)]
 pub(crate) struct Lenders {
-    lent_ms: FastMap<Cell, FastMap<Asker, Millis>>,
+    lent_ms: FastMap<Cell, FastMap<Requester, Millis>>,
 }
 
 impl Lenders {
-    pub(crate) fn note(&mut self, now_ms: Millis, cell: &Cell, asker: Asker) {
-        self.lent_ms.entry(cell.clone()).or_default().insert(asker, now_ms);
+    pub(crate) fn note(&mut self, now_ms: Millis, cell: &Cell, requester: Requester) {
+        self.lent_ms.entry(cell.clone()).or_default().insert(requester, now_ms);
     }
 
     /// How many lend their shares by now.
--- a/crates/dispatch/src/scheduler.rs
+++ b/crates/dispatch/src/scheduler.rs
@@ -26,7 +26,9 @@
 pub use cell::Cell;
 pub use directory::Directory;
 pub use job::{Submission, Ticket};
-pub use message::{Asker, Effect, Outcome, Place, PlacementMessage, RefusalCause, Withdrawal};
+pub use message::{
+    Effect, Outcome, Placement, PlacementMessage, RefusalCause, Requester, Withdrawal,
+};
 pub use set::SchedulerSet;
 
 use crate::choice::Candidate;
@@ -66,7 +68,7 @@
     /// When an upstream was last asked.
     asked_ms: FastMap<UpstreamId, Millis>,
     /// When a host last sent to an upstream, and to which run of it.
-    sent: FastMap<Asker, FastMap<UpstreamId, Sent>>,
+    sent: FastMap<Requester, FastMap<UpstreamId, Sent>>,
     /// Requests that waited for their place since one went beyond what its upstream works on best.
     waited_since_trial: u32,
     forgot_ms: Millis,
@@ -122,14 +124,14 @@
         &mut self,
         now_ms: Millis,
         key: Key,
-        how: Withdrawal,
+        withdrawal: Withdrawal,
         upstreams: &mut UpstreamSet,
     ) -> Option<UpstreamId> {
         self.waiting.retain(|job| job.key != key);
         let placed = self.placed.take(now_ms, key)?;
         if let Some(known) = upstreams.get_run_mut(&placed.upstream, placed.run) {
             known.note_withdrawn();
-            if how == Withdrawal::Unreachable {
+            if withdrawal == Withdrawal::Unreachable {
                 known.note_ask_failed(now_ms, AskFailure::Unreachable);
             }
         }
@@ -206,8 +208,8 @@
             match self.decide(&mut job, &offers, view) {
                 Decision::Place(candidate) => {
                     rates.take(now_ms, &candidate.upstream, lent, upstreams);
-                    let place = self.place(now_ms, &job, candidate, ahead, upstreams);
-                    effects.extend(place);
+                    let placed = self.place(now_ms, &job, candidate, ahead, upstreams);
+                    effects.extend(placed);
                     continue;
                 }
                 Decision::Refuse(cause) => {
@@ -217,7 +219,7 @@
                 Decision::Ask(asked) => {
                     for upstream in asked {
                         self.asked_ms.insert(upstream.clone(), now_ms);
-                        effects.push(Effect::Ask(upstream));
+                        effects.push(Effect::Probe(upstream));
                     }
                 }
                 Decision::Wait => {}
@@ -247,12 +249,12 @@
             false => {}
         }
         self.placed.add(now_ms, job, &candidate, known);
-        let sent = self.sent.entry(job.key.asker).or_default();
+        let sent = self.sent.entry(job.key.requester).or_default();
         sent.insert(candidate.upstream.clone(), Sent { at_ms: now_ms, run: known.entry.run });
         let report_age_ms = known.report(now_ms).map(|(_, age_ms)| age_ms);
         let Candidate { upstream, work, cost } = candidate;
         let (work, cost) = (work as f32, cost as f32);
-        Some(job.placed(Place { upstream, work, cost, report_age_ms, ahead }))
+        Some(job.placed(Placement { upstream, work, cost, report_age_ms, ahead }))
     }
 
     fn forget(&mut self, now_ms: Millis, upstreams: &mut UpstreamSet) {
--- a/crates/dispatch/src/scheduler/decision.rs
+++ b/crates/dispatch/src/scheduler/decision.rs
@@ -144,7 +144,7 @@
         view: View<'_>,
         rng: &mut Pcg64Mcg,
     ) -> Vec<Offer> {
-        let sent = self.sent.get(&job.key.asker);
+        let sent = self.sent.get(&job.key.requester);
         let is_connected = |id: &UpstreamId| {
             let last = sent.and_then(|sent| sent.get(id));
             last.is_some_and(|last| !view.upstreams.has_restarted(id, last.run))
--- a/crates/dispatch/src/scheduler/job.rs
+++ b/crates/dispatch/src/scheduler/job.rs
@@ -2,7 +2,7 @@
 
 use super::Cell;
 use super::decision::ASK_AGAIN_MS;
-use super::message::{Asker, Effect, Place, PlacementMessage, RefusalCause};
+use super::message::{Effect, Placement, PlacementMessage, RefusalCause, Requester};
 use crate::deadline::FAR_TOO_LATE;
 use domain::{Millis, UpstreamId, ZoneName};
 use serde::{Deserialize, Serialize};
@@ -18,7 +18,7 @@
 /// Names a request at a scheduler.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Key {
-    pub(super) asker: Asker,
+    pub(super) requester: Requester,
     pub(super) ticket: Ticket,
 }
 
@@ -44,7 +44,7 @@
     /// Upstreams that asked its host to back off.
     pub backing_off: Vec<UpstreamId>,
     /// Its host lends the scheduler its share of what upstreams take from the whole fleet.
-    pub lends: bool,
+    pub lends_rate_share: bool,
 }
 
 /// A request that waits for its place.
@@ -67,11 +67,11 @@
 }
 
 impl Job {
-    pub(super) fn new(now_ms: Millis, submission: Submission, asker: Asker) -> Job {
+    pub(super) fn new(now_ms: Millis, submission: Submission, requester: Requester) -> Job {
         let arrived_ms = now_ms - submission.age_ms;
         let end_ms = now_ms + submission.left_ms;
         Job {
-            key: Key { asker, ticket: submission.ticket },
+            key: Key { requester, ticket: submission.ticket },
             zone: submission.zone,
             tried: submission.tried,
             backing_off: submission.backing_off,
@@ -127,8 +127,8 @@
         self.end_ms.min(self.due_ms + beyond_ms)
     }
 
-    pub(super) fn placed(&self, place: Place) -> Effect {
-        self.tell(PlacementMessage::Placed { ticket: self.key.ticket, place })
+    pub(super) fn placed(&self, placement: Placement) -> Effect {
+        self.tell(PlacementMessage::Placed { ticket: self.key.ticket, placement })
     }
 
     pub(super) fn refused(&self, cause: RefusalCause) -> Effect {
@@ -145,6 +145,6 @@
     }
 
     fn tell(&self, message: PlacementMessage) -> Effect {
-        Effect::Tell { to: self.key.asker, message }
+        Effect::Send { to: self.key.requester, message }
     }
 }
--- a/crates/dispatch/src/scheduler/message.rs
+++ b/crates/dispatch/src/scheduler/message.rs
@@ -22,7 +22,7 @@
         /// Which.
         ticket: Ticket,
         /// Where it is to be sent.
-        place: Place,
+        placement: Placement,
     },
     /// It gets none.
     Refused {
@@ -43,7 +43,7 @@
         /// Which.
         ticket: Ticket,
         /// How far it came.
-        how: Withdrawal,
+        withdrawal: Withdrawal,
     },
 }
 
@@ -62,7 +62,7 @@
 
 /// The place of a request, and what it was chosen by.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Place {
+pub struct Placement {
     /// Where it is to be sent.
     pub upstream: UpstreamId,
     /// How long it would take, in times of the usual.
@@ -114,9 +114,9 @@
 
 /// Whose request it is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Asker {
+pub enum Requester {
     /// The scheduler's own host.
-    Own,
+    OwnHost,
     /// A peer that hears at this address.
     Peer(SocketAddr),
 }
@@ -125,12 +125,12 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Tell a host.
-    Tell {
+    Send {
         /// Whom.
-        to: Asker,
+        to: Requester,
         /// What.
         message: PlacementMessage,
     },
     /// Ask an upstream for its load, and note what it told.
-    Ask(UpstreamId),
+    Probe(UpstreamId),
 }
--- a/crates/dispatch/src/scheduler/rate_placing.rs
+++ b/crates/dispatch/src/scheduler/rate_placing.rs
@@ -1,7 +1,7 @@
 //! What a scheduler may place on upstreams that take a rate from the whole fleet.
 
 use super::freshness::just_told;
-use super::{Asker, Cell};
+use super::{Cell, Requester};
 use crate::fleet_rate::{Lenders, Lent, RateBudget};
 use crate::subset::FleetShape;
 use crate::upstream::Known;
@@ -27,8 +27,8 @@
     }
 
     /// A host hands a request of a cell to this one, and lends it its share.
-    pub(super) fn note_lent(&mut self, now_ms: Millis, cell: &Cell, asker: Asker) {
-        self.lenders.note(now_ms, cell, asker);
+    pub(super) fn note_lent(&mut self, now_ms: Millis, cell: &Cell, requester: Requester) {
+        self.lenders.note(now_ms, cell, requester);
     }
 
     /// Forgets shares that are no longer lent, and upstreams that take what comes.
--- a/crates/dispatch/src/scheduler/set.rs
+++ b/crates/dispatch/src/scheduler/set.rs
@@ -1,7 +1,7 @@
 //! All that a host schedules.
 
 use super::job::{Job, Key};
-use super::message::{Asker, Effect, PlacementMessage, RefusalCause, Withdrawal};
+use super::message::{Effect, PlacementMessage, RefusalCause, Requester, Withdrawal};
 use super::rate_placing::RatePlacing;
 use super::{Cell, Scheduler};
 use crate::subset::FleetShape;
@@ -57,7 +57,7 @@
         &mut self,
         now_ms: Millis,
         message: PlacementMessage,
-        asker: Asker,
+        requester: Requester,
         upstreams: &mut UpstreamSet,
         rng: &mut Pcg64Mcg,
     ) -> Vec<Effect> {
@@ -66,35 +66,35 @@
             PlacementMessage::Submit(submission) if self.is_leaving => {
                 let (ticket, cause) = (submission.ticket, RefusalCause::NoUpstream);
                 let message = PlacementMessage::Refused { ticket, cause };
-                return vec![Effect::Tell { to: asker, message }];
+                return vec![Effect::Send { to: requester, message }];
             }
             PlacementMessage::Submit(submission) => {
                 let cell = &submission.cell;
                 let new = || Scheduler::new(cell.clone());
                 let scheduler = self.schedulers.entry(cell.clone()).or_insert_with(new);
-                if submission.lends {
-                    self.rates.note_lent(now_ms, cell, asker);
+                if submission.lends_rate_share {
+                    self.rates.note_lent(now_ms, cell, requester);
                 }
-                let job = Job::new(now_ms, submission, asker);
+                let job = Job::new(now_ms, submission, requester);
                 if !scheduler.knows(job.key) {
                     effects.extend(scheduler.submit(job));
                 }
                 Some(scheduler)
             }
             PlacementMessage::Ended { ticket, outcome } => {
-                let key = Key { asker, ticket };
+                let key = Key { requester, ticket };
                 let mut scheduler = that_knows(&mut self.schedulers, key);
                 if let Some(scheduler) = &mut scheduler {
                     scheduler.end(now_ms, key, &outcome, upstreams);
                 }
                 scheduler
             }
-            PlacementMessage::Withdrawn { ticket, how } => {
-                let key = Key { asker, ticket };
+            PlacementMessage::Withdrawn { ticket, withdrawal } => {
+                let key = Key { requester, ticket };
                 let mut scheduler = that_knows(&mut self.schedulers, key);
                 if let Some(scheduler) = &mut scheduler {
-                    let upstream = scheduler.withdraw(now_ms, key, how, upstreams);
-                    if let Some(upstream) = upstream.filter(|_| how != Withdrawal::Sent) {
+                    let upstream = scheduler.withdraw(now_ms, key, withdrawal, upstreams);
+                    if let Some(upstream) = upstream.filter(|_| withdrawal != Withdrawal::Sent) {
                         self.rates.budget.give_back(&upstream);
                     }
                 }
--- a/crates/dispatch/tests/backoff.rs
+++ b/crates/dispatch/tests/backoff.rs
@@ -7,7 +7,7 @@
 use dispatch::UpstreamSet;
 use dispatch::backpressure::{AnswerKind, Backpressure};
 use dispatch::scheduler::{
-    Asker, Effect, PlacementMessage, RefusalCause, SchedulerSet, Submission, Ticket,
+    Effect, PlacementMessage, RefusalCause, Requester, SchedulerSet, Submission, Ticket,
 };
 use domain::{Millis, PerSecond, UpstreamId};
 use published::{Evacuations, RunStart};
@@ -132,8 +132,8 @@
     }
 
     fn take(&mut self, host: u16, message: PlacementMessage) -> Vec<Effect> {
-        let asker = Asker::Peer(([127, 0, 0, 1], host).into());
-        self.schedulers.take(self.now_ms, message, asker, &mut self.upstreams, &mut self.rng)
+        let requester = Requester::Peer(([127, 0, 0, 1], host).into());
+        self.schedulers.take(self.now_ms, message, requester, &mut self.upstreams, &mut self.rng)
     }
 
     fn turn(&mut self) -> Vec<Effect> {
@@ -152,7 +152,7 @@
 /// When the caller of a refused request is to come back.
 fn refused_for(effects: &[Effect], wanted: Ticket) -> Option<u64> {
     effects.iter().find_map(|effect| match effect {
-        Effect::Tell { message: PlacementMessage::Refused { ticket, cause }, .. }
+        Effect::Send { message: PlacementMessage::Refused { ticket, cause }, .. }
             if *ticket == wanted =>
         {
             match cause {
@@ -166,8 +166,8 @@
 
 fn placed(effects: &[Effect]) -> Option<UpstreamId> {
     effects.iter().find_map(|effect| match effect {
-        Effect::Tell { message: PlacementMessage::Placed { place, .. }, .. } => {
-            Some(place.upstream.clone())
+        Effect::Send { message: PlacementMessage::Placed { placement, .. }, .. } => {
+            Some(placement.upstream.clone())
         }
         _ => None,
     })
@@ -193,7 +193,7 @@
     let cause = RefusalCause::NoUpstream;
     let refused = PlacementMessage::Refused { ticket, cause };
     let is_told =
-        |effect: &Effect| matches!(effect, Effect::Tell { message, .. } if *message == refused);
+        |effect: &Effect| matches!(effect, Effect::Send { message, .. } if *message == refused);
     assert!(effects.iter().any(is_told), "{effects:?}");
 }
 
--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use dispatch::scheduler::{
-    Asker, Cell, Effect, PlacementMessage, RefusalCause, SchedulerSet, Submission,
+    Cell, Effect, PlacementMessage, RefusalCause, Requester, SchedulerSet, Submission,
 };
 use dispatch::{Reach, UpstreamSet};
 use domain::{Millis, ServiceName, ZoneName};
@@ -107,8 +107,8 @@
     for name in ["i-1", "i-2"] {
         set.note_report(NOW, (&id(name), RunStart::default()), report(6, 6, 100));
     }
-    let asker = Asker::Own;
-    let effects = schedulers.take(NOW, submit(1, &cell), asker, &mut set, &mut rng);
+    let requester = Requester::OwnHost;
+    let effects = schedulers.take(NOW, submit(1, &cell), requester, &mut set, &mut rng);
     assert!(placed(&effects).is_empty(), "{effects:?}");
     set.sync(NOW, entries.iter(), &evacuations(&["kariakoo"]));
     set.note_report(NOW, (&id("i-1"), RunStart::default()), report(0, 0, 100));
@@ -119,8 +119,8 @@
 
 fn placed(effects: &[Effect]) -> Vec<String> {
     let of = |effect: &Effect| match effect {
-        Effect::Tell { message: PlacementMessage::Placed { place, .. }, .. } => {
-            Some(place.upstream.to_string())
+        Effect::Send { message: PlacementMessage::Placed { placement, .. }, .. } => {
+            Some(placement.upstream.to_string())
         }
         _ => None,
     };
@@ -134,10 +134,10 @@
     let cell = Cell { service: service(), zone: None };
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut schedulers = SchedulerSet::new("front-1".parse().unwrap());
-    let effects = schedulers.take(NOW, submit(1, &cell), Asker::Own, &mut set, &mut rng);
+    let effects = schedulers.take(NOW, submit(1, &cell), Requester::OwnHost, &mut set, &mut rng);
     let is_refused = |effect: &Effect| {
         let no_upstream = RefusalCause::NoUpstream;
-        matches!(effect, Effect::Tell { message: PlacementMessage::Refused { cause, .. }, .. }
+        matches!(effect, Effect::Send { message: PlacementMessage::Refused { cause, .. }, .. }
             if *cause == no_upstream)
     };
     assert!(effects.iter().any(is_refused), "{effects:?}");
--- a/crates/dispatch/tests/restart.rs
+++ b/crates/dispatch/tests/restart.rs
@@ -5,7 +5,7 @@
 
 use dispatch::backpressure::Backpressure;
 use dispatch::scheduler::{
-    Asker, Effect, Outcome, PlacementMessage, SchedulerSet, Ticket, Withdrawal,
+    Effect, Outcome, PlacementMessage, Requester, SchedulerSet, Ticket, Withdrawal,
 };
 use dispatch::{AskFailure, SendFailure, UpstreamSet};
 use domain::Millis;
@@ -67,9 +67,9 @@
     let mut upstreams = set(&[of_run("i-1", 100)]);
     let mut schedulers = SchedulerSet::new("front-1".parse().unwrap());
     let mut rng = Pcg64Mcg::seed_from_u64(7);
-    let asker = Asker::Peer("127.0.0.1:7000".parse().unwrap());
+    let requester = Requester::Peer("127.0.0.1:7000".parse().unwrap());
     let mut take = |upstreams: &mut UpstreamSet, message| {
-        schedulers.take(NOW, message, asker, upstreams, &mut rng)
+        schedulers.take(NOW, message, requester, upstreams, &mut rng)
     };
     upstreams.note_report(NOW, (&id("i-1"), FORMER), report(0, 0, 100));
     take(&mut upstreams, submit(1));
@@ -85,11 +85,14 @@
         backpressure: Backpressure::default(),
     };
     let effects = take(&mut upstreams, PlacementMessage::Ended { ticket: Ticket(1), outcome });
-    assert!(effects.iter().all(|effect| !matches!(effect, Effect::Ask(_))), "{effects:?}");
+    assert!(effects.iter().all(|effect| !matches!(effect, Effect::Probe(_))), "{effects:?}");
     let known = upstreams.get(&id("i-1")).unwrap();
     assert_eq!((known.open(), known.failure_share(NOW)), (1, 0.0));
     assert_eq!(known.report(NOW).unwrap().0.running, 0);
-    take(&mut upstreams, PlacementMessage::Withdrawn { ticket: Ticket(2), how: Withdrawal::Sent });
+    take(
+        &mut upstreams,
+        PlacementMessage::Withdrawn { ticket: Ticket(2), withdrawal: Withdrawal::Sent },
+    );
     assert_eq!(upstreams.get(&id("i-1")).unwrap().open(), 0);
 }
 
--- a/crates/dispatch/tests/scheduler.rs
+++ b/crates/dispatch/tests/scheduler.rs
@@ -5,8 +5,8 @@
 
 use dispatch::backpressure::Backpressure;
 use dispatch::scheduler::{
-    Asker, Cell, Effect, Outcome, PlacementMessage, RefusalCause, SchedulerSet, Submission, Ticket,
-    Withdrawal,
+    Cell, Effect, Outcome, PlacementMessage, RefusalCause, Requester, SchedulerSet, Submission,
+    Ticket, Withdrawal,
 };
 use dispatch::{AskFailure, LoadReport, SendFailure, UpstreamSet};
 use domain::{Millis, UpstreamId};
@@ -59,8 +59,8 @@
     }
 
     fn take(&mut self, message: PlacementMessage) -> Vec<Effect> {
-        let asker = Asker::Peer("127.0.0.1:7000".parse().unwrap());
-        self.schedulers.take(self.now_ms, message, asker, &mut self.upstreams, &mut self.rng)
+        let requester = Requester::Peer("127.0.0.1:7000".parse().unwrap());
+        self.schedulers.take(self.now_ms, message, requester, &mut self.upstreams, &mut self.rng)
     }
 
     fn submission(&mut self, tried: &[&str]) -> Submission {
@@ -107,12 +107,12 @@
 
 fn fate(effects: &[Effect], wanted: Ticket) -> Fate {
     let of = |effect: &Effect| match effect {
-        Effect::Tell { message: PlacementMessage::Placed { ticket, place }, .. }
+        Effect::Send { message: PlacementMessage::Placed { ticket, placement }, .. }
             if *ticket == wanted =>
         {
-            Some(Fate::Placed(place.upstream.clone()))
+            Some(Fate::Placed(placement.upstream.clone()))
         }
-        Effect::Tell { message: PlacementMessage::Refused { ticket, cause }, .. }
+        Effect::Send { message: PlacementMessage::Refused { ticket, cause }, .. }
             if *ticket == wanted =>
         {
             Some(Fate::Refused(*cause))
@@ -124,8 +124,8 @@
 
 fn asked(effects: &[Effect]) -> Vec<String> {
     let of = |effect: &Effect| match effect {
-        Effect::Ask(upstream) => Some(upstream.to_string()),
-        Effect::Tell { .. } => None,
+        Effect::Probe(upstream) => Some(upstream.to_string()),
+        Effect::Send { .. } => None,
     };
     let mut asked: Vec<String> = effects.iter().filter_map(of).collect();
     asked.sort();
@@ -217,7 +217,7 @@
         play.wait(93);
         for ticket in tickets {
             play.take(PlacementMessage::Ended { ticket, outcome: outcome(100) });
-            play.take(PlacementMessage::Withdrawn { ticket, how: Withdrawal::Sent });
+            play.take(PlacementMessage::Withdrawn { ticket, withdrawal: Withdrawal::Sent });
         }
     }
     assert_eq!(most, 6);
@@ -362,7 +362,7 @@
     play.tell("i-1", report(0, 0, 100));
     let (ticket, _) = play.submit();
     assert_eq!(play.upstreams.get(&id("i-1")).unwrap().open(), 1);
-    play.take(PlacementMessage::Withdrawn { ticket, how: Withdrawal::Sent });
+    play.take(PlacementMessage::Withdrawn { ticket, withdrawal: Withdrawal::Sent });
     assert_eq!(play.upstreams.get(&id("i-1")).unwrap().open(), 0);
 }
 
@@ -413,7 +413,7 @@
     for _ in 0..10 {
         play.wait(4);
         let is_word = |effect: &&Effect| {
-            matches!(effect, Effect::Tell { message: PlacementMessage::Queued { .. }, .. })
+            matches!(effect, Effect::Send { message: PlacementMessage::Queued { .. }, .. })
         };
         words += play.turn().iter().filter(is_word).count();
     }
@@ -461,7 +461,7 @@
         }
         let (ticket, effects) = submit(&mut play);
         assert!(matches!(fate(&effects, ticket), Fate::Placed(_)), "{effects:?}");
-        play.take(PlacementMessage::Withdrawn { ticket, how: Withdrawal::Unreachable });
+        play.take(PlacementMessage::Withdrawn { ticket, withdrawal: Withdrawal::Unreachable });
     }
     let (ticket, effects) = submit(&mut play);
     let refused = fate(&effects, ticket) == Fate::Refused(RefusalCause::NoUpstream);
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -67,6 +67,6 @@
         left_ms: Millis(1_200),
         tried: Vec::new(),
         backing_off: Vec::new(),
-        lends: true,
+        lends_rate_share: true,
     }
 }
--- a/crates/dispatch/tests/support/rate_site.rs
+++ b/crates/dispatch/tests/support/rate_site.rs
@@ -7,11 +7,11 @@
 use super::submission;
 use dispatch::backpressure::ToldBackpressure;
 use dispatch::scheduler::{
-    Asker, Cell, Directory, Effect, Outcome, PlacementMessage, Submission, Ticket, Withdrawal,
+    Cell, Directory, Effect, Outcome, PlacementMessage, Requester, Submission, Ticket, Withdrawal,
 };
 use dispatch::{LoadReport, Reach, SendFailure};
 use domain::{FastMap, FastSet, Millis, ServiceName, Slots, UpstreamId, ZoneName};
-use host::{Host, asker, cold, known_fleet};
+use host::{Host, cold, known_fleet, requester};
 use published::{Member, RunStart};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -261,7 +261,7 @@
             return self.send_alone(host);
         };
         let scheduler = self.hosts[to].member.host.clone();
-        let lends = self.hosts[host].sender.lend(now_ms, &self.cell, &scheduler);
+        let lends_rate_share = self.hosts[host].sender.lend(now_ms, &self.cell, &scheduler);
         self.open.insert((host, ticket), to);
         let submission = Submission {
             cell: self.cell.clone(),
@@ -269,7 +269,7 @@
             objective_ms: Millis(1_500),
             left_ms: Millis(2_000),
             backing_off: self.hosts[host].upstreams.backing_off(now_ms, &service()),
-            lends,
+            lends_rate_share,
             ..submission(ticket)
         };
         let message = PlacementMessage::Submit(submission);
@@ -311,9 +311,9 @@
         let now_ms = Millis(self.now_ms);
         match event {
             Event::Scheduler { to, from, message } if self.is_up(to) => {
-                let asker = asker(to, from);
+                let requester = requester(to, from);
                 let Host { schedulers, upstreams, rng, .. } = &mut self.hosts[to];
-                let effects = schedulers.take(now_ms, message, asker, upstreams, rng);
+                let effects = schedulers.take(now_ms, message, requester, upstreams, rng);
                 self.carry_out(to, effects);
             }
             Event::Host { to, message } if self.is_up(to) => self.hear(to, message),
@@ -386,20 +386,20 @@
     }
 
     fn withdraw(&mut self, host: usize, to: usize, ticket: Ticket) {
-        let message = PlacementMessage::Withdrawn { ticket, how: Withdrawal::NotSent };
+        let message = PlacementMessage::Withdrawn { ticket, withdrawal: Withdrawal::NotSent };
         self.carry(host, to, || Event::Scheduler { to, from: host, message: message.clone() });
     }
 
     fn hear(&mut self, host: usize, message: PlacementMessage) {
         match message {
-            PlacementMessage::Placed { ticket, place } => {
+            PlacementMessage::Placed { ticket, placement } => {
                 let Some(to) = self.open.remove(&(host, ticket.0)) else { return };
                 let now_ms = Millis(self.now_ms);
                 let upstreams = &self.hosts[host].upstreams;
-                let may_send = upstreams.takes_work(&place.upstream)
-                    && upstreams.backs_off(now_ms, &place.upstream).is_none();
+                let may_send = upstreams.takes_work(&placement.upstream)
+                    && upstreams.backs_off(now_ms, &placement.upstream).is_none();
                 match may_send {
-                    true => self.reach(&place.upstream, host, Some((to, ticket))),
+                    true => self.reach(&placement.upstream, host, Some((to, ticket))),
                     false => self.withdraw(host, to, ticket),
                 }
             }
@@ -453,14 +453,14 @@
     fn carry_out(&mut self, at: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Tell { to, message } => {
+                Effect::Send { to, message } => {
                     let to = match to {
-                        Asker::Own => at,
-                        Asker::Peer(address) => usize::from(address.port()),
+                        Requester::OwnHost => at,
+                        Requester::Peer(address) => usize::from(address.port()),
                     };
                     self.carry(at, to, || Event::Host { to, message: message.clone() });
                 }
-                Effect::Ask(upstream) => {
+                Effect::Probe(upstream) => {
                     let run = self.hosts[at].run;
                     self.push(2 * WAY_MS, Event::Asked { by: at, run, upstream });
                 }
--- a/crates/dispatch/tests/support/rate_site/host.rs
+++ b/crates/dispatch/tests/support/rate_site/host.rs
@@ -2,7 +2,7 @@
 
 use super::super::{entry, id};
 use super::{AFTER_MS, Harm, Reason, SLOTS, Site, ZONES, service, zone};
-use dispatch::scheduler::{Asker, Cell, Directory, SchedulerSet};
+use dispatch::scheduler::{Cell, Directory, Requester, SchedulerSet};
 use dispatch::{FleetShape, RateSender, UpstreamSet, sharing_fleet};
 use domain::{Connections, HostId, Incarnation, Millis, PerSecond, Slots};
 use published::{Capacity, Entry, Evacuations, Member, ServiceSettings, Upstream};
@@ -70,10 +70,10 @@
     }
 }
 
-pub(super) fn asker(to: usize, from: usize) -> Asker {
+pub(super) fn requester(to: usize, from: usize) -> Requester {
     match to == from {
-        true => Asker::Own,
-        false => Asker::Peer(SocketAddr::new([127, 0, 0, 1].into(), from as u16)),
+        true => Requester::OwnHost,
+        false => Requester::Peer(SocketAddr::new([127, 0, 0, 1].into(), from as u16)),
     }
 }
 
--- a/crates/emulator/src/play/scheduled.rs
+++ b/crates/emulator/src/play/scheduled.rs
@@ -4,8 +4,8 @@
 use crate::site::Site;
 use dispatch::backpressure::Backpressure;
 use dispatch::scheduler::{
-    Asker, Cell, Effect, Outcome, PlacementMessage, RefusalCause, SchedulerSet, Submission, Ticket,
-    Withdrawal,
+    Cell, Effect, Outcome, PlacementMessage, RefusalCause, Requester, SchedulerSet, Submission,
+    Ticket, Withdrawal,
 };
 use dispatch::{LoadReport, SendFailure, UpstreamSet};
 use domain::{Millis, Slots, UpstreamId, ZoneName};
@@ -88,7 +88,7 @@
             left_ms: Millis((taken.leaves_ms - self.now_ms).max(0.0) as u64),
             tried: Vec::new(),
             backing_off: Vec::new(),
-            lends: true,
+            lends_rate_share: true,
         };
         let host = taken.host;
         self.timeline.add(self.now_ms + FIRST_WORD_MS, Event::Unheard { request });
@@ -114,7 +114,7 @@
     pub(super) fn at_scheduler(&mut self, message: PlacementMessage) {
         let now_ms = self.now();
         let SchedulingHost { schedulers, upstreams, rng, .. } = &mut self.scheduler;
-        let effects = schedulers.take(now_ms, message, Asker::Own, upstreams, rng);
+        let effects = schedulers.take(now_ms, message, Requester::OwnHost, upstreams, rng);
         self.carry_out(effects);
     }
 
@@ -140,12 +140,12 @@
     fn carry_out(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Tell { message, .. } => {
+                Effect::Send { message, .. } => {
                     let Some(request) = ticket_of(&message).map(request_of) else { continue };
                     let way_ms = self.way_ms(0, self.requests[request].host);
                     self.carry(way_ms, Event::AtHost(message));
                 }
-                Effect::Ask(id) => {
+                Effect::Probe(id) => {
                     let Some(upstream) = self.scheduler.index(&id) else { continue };
                     self.figures.asks += 1;
                     let way_ms = self.way_to_upstream_ms(0, upstream) + ANSWER_MS;
@@ -169,8 +169,8 @@
             PlacementMessage::Queued { .. } if is_open => {
                 self.requests[request].state = State::Waiting;
             }
-            PlacementMessage::Placed { place, .. } if is_open => {
-                if let Some(upstream) = self.scheduler.index(&place.upstream) {
+            PlacementMessage::Placed { placement, .. } if is_open => {
+                if let Some(upstream) = self.scheduler.index(&placement.upstream) {
                     self.send(request, upstream, true);
                 }
             }
@@ -191,7 +191,10 @@
         }
         let host = self.requests[request].host;
         let ticket = Ticket(request as u64);
-        self.tell_scheduler(host, PlacementMessage::Withdrawn { ticket, how: Withdrawal::NotSent });
+        self.tell_scheduler(
+            host,
+            PlacementMessage::Withdrawn { ticket, withdrawal: Withdrawal::NotSent },
+        );
         let upstream = self.emptier_of_two();
         self.send(request, upstream, false);
     }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -15,7 +15,7 @@
 use crate::placing;
 use crate::quarantine;
 use codec::{CodecError, Datagram};
-use dispatch::scheduler::Asker;
+use dispatch::scheduler::Requester;
 use domain::Millis;
 use fetch::FETCH_LIMIT;
 use published::{Effect, Fetch, Gossip, Message};
@@ -152,7 +152,7 @@
                 }
             }
             Ok(Datagram::Placement(message)) => {
-                placing::take(&self.host, message, Asker::Peer(from));
+                placing::take(&self.host, message, Requester::Peer(from));
             }
             Err(e) => self.host.log.write(&LogEvent::PeerUnreadable {
                 from: from.to_string(),
--- a/crates/gateway/src/placing.rs
+++ b/crates/gateway/src/placing.rs
@@ -18,7 +18,8 @@
 use crate::peers::codec::Datagram;
 use dispatch::budget::AskBudget;
 use dispatch::scheduler::{
-    Asker, Cell, Directory, Place, PlacementMessage, RefusalCause, SchedulerSet, Submission, Ticket,
+    Cell, Directory, Placement, PlacementMessage, RefusalCause, Requester, SchedulerSet,
+    Submission, Ticket,
 };
 use domain::{FastMap, HostId, Millis, ServiceName};
 use published::Member;
@@ -65,15 +66,15 @@
 #[derive(Debug)]
 enum SchedulerReply {
     Queued,
-    Placed(Place),
+    Placed(Placement),
     Refused(RefusalCause),
 }
 
 /// What came of submitting a request.
 #[derive(Debug)]
-pub enum Placement {
+pub enum PlacementResult {
     /// It has a place.
-    Placed(PlacementGuard, Place),
+    Placed(PlacementGuard, Placement),
     /// It gets none.
     Refused(RefusalCause),
     /// Nobody said anything in time.
@@ -138,14 +139,14 @@
     host: &Rc<Host>,
     cell: Cell,
     submission: impl FnOnce(Ticket, Cell) -> Submission,
-) -> Placement {
-    let Some(scheduler) = choose_scheduler(host, &cell) else { return Placement::Unanswered };
+) -> PlacementResult {
+    let Some(scheduler) = choose_scheduler(host, &cell) else { return PlacementResult::Unanswered };
     let ticket = host.placing.draw_ticket();
     let (replies, mut received) = mpsc::unbounded_channel();
     host.placing.awaited.borrow_mut().insert(ticket, replies);
     let held = PlacementGuard::new(host, ticket, &scheduler);
-    let lends = host.rates.borrow_mut().lend(host.now_ms(), &cell, &scheduler.host);
-    let submission = Submission { lends, ..submission(ticket, cell.clone()) };
+    let lends_rate_share = host.rates.borrow_mut().lend(host.now_ms(), &cell, &scheduler.host);
+    let submission = Submission { lends_rate_share, ..submission(ticket, cell.clone()) };
     held.tell(PlacementMessage::Submit(submission));
     let mut longest = FIRST_REPLY;
     loop {
@@ -157,17 +158,19 @@
                         host.placing.note_wait(&cell.service, host.now_ms());
                         longest = NEXT_REPLY;
                     }
-                    SchedulerReply::Placed(place) => return Placement::Placed(held, place),
+                    SchedulerReply::Placed(placement) => {
+                        return PlacementResult::Placed(held, placement);
+                    }
                     SchedulerReply::Refused(cause) => {
                         host.placing.note_wait(&cell.service, host.now_ms());
                         held.forget();
-                        return Placement::Refused(cause);
+                        return PlacementResult::Refused(cause);
                     }
                 }
             }
             Ok(None) | Err(_) => {
                 note_silent(host, &scheduler.host, &cell);
-                return Placement::Unanswered;
+                return PlacementResult::Unanswered;
             }
         }
     }
@@ -187,11 +190,11 @@
 }
 
 /// Takes a peer's message on a place.
-pub fn take(host: &Rc<Host>, message: PlacementMessage, asker: Asker) {
+pub fn take(host: &Rc<Host>, message: PlacementMessage, requester: Requester) {
     match message {
         PlacementMessage::Queued { ticket } => host.placing.deliver(ticket, SchedulerReply::Queued),
-        PlacementMessage::Placed { ticket, place } => {
-            host.placing.deliver(ticket, SchedulerReply::Placed(place));
+        PlacementMessage::Placed { ticket, placement } => {
+            host.placing.deliver(ticket, SchedulerReply::Placed(placement));
         }
         PlacementMessage::Refused { ticket, cause } => {
             host.placing.deliver(ticket, SchedulerReply::Refused(cause));
@@ -199,19 +202,19 @@
         // Its few upstreams would be taken for all; the asker asks by itself.
         PlacementMessage::Submit(Submission { ticket, .. }) if host.is_partial() => {
             let cause = RefusalCause::NoUpstream;
-            tell(host, asker, PlacementMessage::Refused { ticket, cause });
+            tell(host, requester, PlacementMessage::Refused { ticket, cause });
         }
         PlacementMessage::Submit(_)
         | PlacementMessage::Ended { .. }
-        | PlacementMessage::Withdrawn { .. } => scheduling::take(host, message, asker),
+        | PlacementMessage::Withdrawn { .. } => scheduling::take(host, message, requester),
     }
 }
 
 /// Tells a host.
-fn tell(host: &Rc<Host>, to: Asker, message: PlacementMessage) {
+fn tell(host: &Rc<Host>, to: Requester, message: PlacementMessage) {
     let address = match to {
-        Asker::Own => return take(host, message, Asker::Own),
-        Asker::Peer(address) => address,
+        Requester::OwnHost => return take(host, message, Requester::OwnHost),
+        Requester::Peer(address) => address,
     };
     // Lost is lost: whoever waits in vain asks upstreams by itself.
     fleet_message::send(host, &Datagram::Placement(message), &[address]);
--- a/crates/gateway/src/placing/guard.rs
+++ b/crates/gateway/src/placing/guard.rs
@@ -2,7 +2,7 @@
 
 use super::tell;
 use crate::host::Host;
-use dispatch::scheduler::{Asker, Outcome, PlacementMessage, Ticket, Withdrawal};
+use dispatch::scheduler::{Outcome, PlacementMessage, Requester, Ticket, Withdrawal};
 use domain::HostId;
 use published::Member;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 pub struct PlacementGuard {
     host: Rc<Host>,
     ticket: Ticket,
-    scheduler: Asker,
+    scheduler: Requester,
     name: HostId,
     withdrawal: Withdrawal,
     is_over: bool,
@@ -24,7 +24,7 @@
         PlacementGuard {
             host: Rc::clone(host),
             ticket,
-            scheduler: if is_own { Asker::Own } else { Asker::Peer(scheduler.address) },
+            scheduler: if is_own { Requester::OwnHost } else { Requester::Peer(scheduler.address) },
             name: scheduler.host.clone(),
             withdrawal: Withdrawal::NotSent,
             is_over: false,
@@ -43,7 +43,7 @@
 
     /// Whether this host gave it, so that what it learns of the request is known here already.
     pub fn is_own(&self) -> bool {
-        self.scheduler == Asker::Own
+        self.scheduler == Requester::OwnHost
     }
 
     /// The request leaves for the upstream.
@@ -76,7 +76,10 @@
     fn drop(&mut self) {
         self.host.placing.awaited.borrow_mut().remove(&self.ticket);
         if !self.is_over {
-            self.tell(PlacementMessage::Withdrawn { ticket: self.ticket, how: self.withdrawal });
+            self.tell(PlacementMessage::Withdrawn {
+                ticket: self.ticket,
+                withdrawal: self.withdrawal,
+            });
         }
     }
 }
--- a/crates/gateway/src/placing/scheduling.rs
+++ b/crates/gateway/src/placing/scheduling.rs
@@ -4,15 +4,15 @@
 use crate::ask;
 use crate::host::Host;
 use dispatch::UpstreamSet;
-use dispatch::scheduler::{Asker, Cell, Directory, Effect, PlacementMessage, SchedulerSet};
+use dispatch::scheduler::{Cell, Directory, Effect, PlacementMessage, Requester, SchedulerSet};
 use domain::Millis;
 use rand_pcg::Pcg64Mcg;
 use std::rc::Rc;
 
 /// Takes a host's message to a scheduler.
-pub(super) fn take(host: &Rc<Host>, message: PlacementMessage, asker: Asker) {
+pub(super) fn take(host: &Rc<Host>, message: PlacementMessage, requester: Requester) {
     act(host, |schedulers, now_ms, upstreams, rng| {
-        schedulers.take(now_ms, message, asker, upstreams, rng)
+        schedulers.take(now_ms, message, requester, upstreams, rng)
     });
 }
 
@@ -66,8 +66,8 @@
 fn carry_out(host: &Rc<Host>, effects: Vec<Effect>) {
     for effect in effects {
         match effect {
-            Effect::Tell { to, message } => tell(host, to, message),
-            Effect::Ask(upstream) => {
+            Effect::Send { to, message } => tell(host, to, message),
+            Effect::Probe(upstream) => {
                 let host = Rc::clone(host);
                 tokio::task::spawn_local(async move {
                     if ask::refresh(&host, &upstream).await {
--- a/crates/gateway/src/serve/finding.rs
+++ b/crates/gateway/src/serve/finding.rs
@@ -9,9 +9,9 @@
 use crate::connection::Connection;
 use crate::event_log::{ChosenBy, LogEvent};
 use crate::host::duration;
-use crate::placing::{self, Placement, PlacementGuard};
+use crate::placing::{self, PlacementGuard, PlacementResult};
 use dispatch::attempts::{Cause, Refusal};
-use dispatch::scheduler::{Cell, Place, RefusalCause, Submission, Ticket};
+use dispatch::scheduler::{Cell, Placement, RefusalCause, Submission, Ticket};
 use dispatch::{DeadlineCheck, Offer, Verdict};
 use domain::{Millis, UpstreamId, ZoneName};
 
@@ -122,11 +122,13 @@
             return Ok(Some(neighbour));
         }
         match self.place(counts).await {
-            Placement::Placed(held, place) => Ok(Some(self.placed(held, place, begun_ms))),
-            Placement::Refused(RefusalCause::NoRoom { retry_after_ms, ahead }) => {
+            PlacementResult::Placed(held, placement) => {
+                Ok(Some(self.placed(held, placement, begun_ms)))
+            }
+            PlacementResult::Refused(RefusalCause::NoRoom { retry_after_ms, ahead }) => {
                 Err(self.no_room(retry_after_ms, ahead, counts))
             }
-            Placement::Refused(RefusalCause::NoUpstream) | Placement::Unanswered => {
+            PlacementResult::Refused(RefusalCause::NoUpstream) | PlacementResult::Unanswered => {
                 self.ask(begun_ms, counts).await
             }
         }
@@ -144,9 +146,9 @@
 
     /// Has the scheduler of the own availability zone place it, or where that has no room that
     /// of another one.
-    async fn place(&self, counts: &SendingCounts) -> Placement {
+    async fn place(&self, counts: &SendingCounts) -> PlacementResult {
         if self.host.is_partial() {
-            return Placement::Unanswered;
+            return PlacementResult::Unanswered;
         }
         let zone = self.host.settings.borrow().availability_zone.clone();
         let cell = {
@@ -156,7 +158,7 @@
         let asked_zone = cell.zone.clone();
         let placement = placing::place(&self.host, cell, self.submission(&zone, counts)).await;
         // Its zone has no room, or none that can be reached.
-        let has_no_room = matches!(placement, Placement::Refused(_));
+        let has_no_room = matches!(placement, PlacementResult::Refused(_));
         match asked_zone.and_then(|asked| self.other_zone(&asked)) {
             Some(other) if has_no_room => {
                 let cell = Cell { service: self.service.clone(), zone: Some(other) };
@@ -193,12 +195,12 @@
             left_ms,
             tried,
             backing_off,
-            lends: false,
+            lends_rate_share: false,
         }
     }
 
-    fn placed(&self, held: PlacementGuard, place: Place, sought_ms: Millis) -> Found {
-        let Place { upstream, work, cost, report_age_ms, ahead } = place;
+    fn placed(&self, held: PlacementGuard, placement: Placement, sought_ms: Millis) -> Found {
+        let Placement { upstream, work, cost, report_age_ms, ahead } = placement;
         let (work, cost) = (f64::from(work), f64::from(cost));
         let by = ChosenBy::Scheduler {
             scheduler: held.scheduler().clone(),
--- a/crates/gateway/tests/codec.rs
+++ b/crates/gateway/tests/codec.rs
@@ -56,7 +56,7 @@
         left_ms: Millis(1_200),
         tried: Vec::new(),
         backing_off: Vec::new(),
-        lends: true,
+        lends_rate_share: true,
     };
     let datagram = Datagram::Placement(PlacementMessage::Submit(submission));
     let bytes = encode(&datagram).unwrap();
--- a/crates/gateway/tests/datagram_bytes.rs
+++ b/crates/gateway/tests/datagram_bytes.rs
@@ -5,7 +5,7 @@
 use dispatch::backpressure::{Backpressure, BackpressureMessage, ToldBackpressure};
 use dispatch::quarantine::{Crash, Quarantine, QuarantineMessage, ToldSuspect};
 use dispatch::scheduler::{
-    Cell, Outcome, Place, PlacementMessage, RefusalCause, Submission, Ticket, Withdrawal,
+    Cell, Outcome, Placement, PlacementMessage, RefusalCause, Submission, Ticket, Withdrawal,
 };
 use dispatch::{LoadReport, SendFailure};
 use domain::{
@@ -381,7 +381,7 @@
 
 const TICKET: Ticket = Ticket(9_000_000);
 
-fn submission(zone: Option<&str>, lends: bool) -> PlacementMessage {
+fn submission(zone: Option<&str>, lends_rate_share: bool) -> PlacementMessage {
     let ids = |ids: &[&str]| ids.iter().map(|id| id.parse::<UpstreamId>().unwrap()).collect();
     PlacementMessage::Submit(Submission {
         ticket: TICKET,
@@ -396,14 +396,14 @@
         left_ms: Millis(1_200),
         tried: ids(&["i-1", "i-2"]),
         backing_off: ids(&["i-3"]),
-        lends,
+        lends_rate_share,
     })
 }
 
 fn placed(report_age_ms: Option<Millis>) -> PlacementMessage {
     let upstream = "i-1".parse().unwrap();
-    let place = Place { upstream, work: 1.25, cost: 2.5, report_age_ms, ahead: 300 };
-    PlacementMessage::Placed { ticket: TICKET, place }
+    let placement = Placement { upstream, work: 1.25, cost: 2.5, report_age_ms, ahead: 300 };
+    PlacementMessage::Placed { ticket: TICKET, placement }
 }
 
 fn refused(cause: RefusalCause) -> PlacementMessage {
@@ -441,8 +441,8 @@
     PlacementMessage::Ended { ticket: TICKET, outcome }
 }
 
-fn withdrawn(how: Withdrawal) -> PlacementMessage {
-    PlacementMessage::Withdrawn { ticket: TICKET, how }
+fn withdrawn(withdrawal: Withdrawal) -> PlacementMessage {
+    PlacementMessage::Withdrawn { ticket: TICKET, withdrawal }
 }
 
 #[rstest]
