--- a/crates/dispatch/src/fleet_rate/sharing.rs
+++ b/crates/dispatch/src/fleet_rate/sharing.rs
@@ -119,7 +119,7 @@
     fn share(&self, now_ms: Millis, upstreams: &UpstreamSet, id: &UpstreamId, hosts: u32) -> f64 {
         let is_lent = self.lent.iter().any(|(cell, (_, lent_ms))| {
             now_ms.since(*lent_ms) < LENT_MS
-                && upstreams.get(id).is_some_and(|known| cell.holds(&known.entry))
+                && upstreams.get(id).is_some_and(|known| cell.contains(&known.entry))
         });
         if is_lent { 0.0 } else { 1.0 / f64::from(hosts.max(1)) }
     }
@@ -140,14 +140,14 @@
     pub(crate) of_cell: f64,
     /// No other host comes before it in order: of two that schedule the same cell just one may take
     /// more than it was lent.
-    pub(crate) is_first: bool,
+    pub(crate) is_primary: bool,
 }
 
 impl Lent {
     /// The part of the rate that may be spent on an upstream, by whether that has just shown
     /// requests of others.
     pub(crate) fn spendable(&self, is_alone: bool) -> f64 {
-        match (self.is_first, is_alone) {
+        match (self.is_primary, is_alone) {
             (true, true) => (self.of_cell / ENOUGH_LENT).min(1.0),
             (true, false) => self.of_cell,
             (false, _) => self.of_fleet,
--- a/crates/dispatch/src/scheduler.rs
+++ b/crates/dispatch/src/scheduler.rs
@@ -73,7 +73,7 @@
     waited_since_trial: u32,
     forgot_ms: Millis,
     /// Whether no other host comes before this one in order for the cell; none before it was looked at.
-    is_first: Option<bool>,
+    is_primary: Option<bool>,
 }
 
 /// A host's last sending to an upstream.
@@ -93,7 +93,7 @@
             sent: FastMap::default(),
             waited_since_trial: 0,
             forgot_ms: Millis::ZERO,
-            is_first: None,
+            is_primary: None,
         }
     }
 
@@ -176,7 +176,7 @@
     }
 
     /// Places, asks, refuses, as far as what is known now goes.
-    fn turn(
+    fn schedule(
         &mut self,
         now_ms: Millis,
         upstreams: &mut UpstreamSet,
@@ -190,7 +190,7 @@
         if self.waiting.is_empty() {
             return;
         }
-        let lent = rates.lent(now_ms, &self.cell, self.is_first == Some(true));
+        let lent = rates.lent(now_ms, &self.cell, self.is_primary == Some(true));
         let forecast = Forecast::new(now_ms, &self.cell, upstreams, (&rates.budget, lent));
         let mut is_full = false;
         let mut ahead = 0;
--- a/crates/dispatch/src/scheduler/cell.rs
+++ b/crates/dispatch/src/scheduler/cell.rs
@@ -24,7 +24,7 @@
 impl Cell {
     /// The cell of a request of a host in an availability zone. Where no upstream takes work
     /// there, it is that of another zone: each upstream has one scheduler.
-    pub fn of(
+    pub fn for_request(
         service: &ServiceName,
         zone: &ZoneName,
         upstreams: &UpstreamSet,
@@ -40,7 +40,7 @@
     }
 
     /// Whether an upstream is of the cell.
-    pub fn holds(&self, entry: &Upstream) -> bool {
+    pub fn contains(&self, entry: &Upstream) -> bool {
         let is_in_zone = self.zone.as_ref().is_none_or(|zone| *zone == entry.availability_zone);
         self.service == entry.service && is_in_zone
     }
--- a/crates/dispatch/src/scheduler/directory.rs
+++ b/crates/dispatch/src/scheduler/directory.rs
@@ -44,28 +44,28 @@
             |member: &Member| Job { role: Role::Scheduler, name: &name }.weight(&member.host);
         let is_eligible = |member: &&Member| {
             let is_near = cell.zone.as_ref().is_none_or(|zone| *zone == member.availability_zone);
-            is_near && !self.is_silent(now_ms, &member.host)
+            is_near && !self.is_unresponsive(now_ms, &member.host)
         };
         hosts.filter(is_eligible).min_by_key(|member| (Reverse(weight(member)), &member.host))
     }
 
     /// The first in order for a cell among these hosts, silent or not.
-    pub fn first<'m>(cell: &Cell, hosts: impl Iterator<Item = &'m Member>) -> Option<&'m Member> {
+    pub fn primary<'m>(cell: &Cell, hosts: impl Iterator<Item = &'m Member>) -> Option<&'m Member> {
         Directory::default().choose(Millis::ZERO, cell, hosts)
     }
 
     /// Whether a host is passed over.
-    pub fn is_silent(&self, now_ms: Millis, host: &HostId) -> bool {
+    pub fn is_unresponsive(&self, now_ms: Millis, host: &HostId) -> bool {
         self.unheard.get(host).is_some_and(|unheard| now_ms < unheard.until_ms)
     }
 
     /// A host answered, or is there in a new run.
-    pub fn note_heard(&mut self, host: &HostId) {
+    pub fn record_response(&mut self, host: &HostId) {
         self.unheard.remove(host);
     }
 
     /// A host did not answer; true if it is passed over from now on.
-    pub fn note_silent(&mut self, now_ms: Millis, host: &HostId) -> bool {
+    pub fn record_timeout(&mut self, now_ms: Millis, host: &HostId) -> bool {
         let unheard = self.unheard.entry(host.clone()).or_default();
         if now_ms < unheard.until_ms {
             return false;
--- a/crates/dispatch/src/scheduler/forecast.rs
+++ b/crates/dispatch/src/scheduler/forecast.rs
@@ -117,7 +117,7 @@
 /// take work, as what is known of them may be old.
 fn sound_upstreams(now_ms: Millis, cell: &Cell, upstreams: &UpstreamSet) -> Vec<UpstreamId> {
     let is_in_cell = |id: &&UpstreamId| {
-        let is_held = upstreams.get(id).is_some_and(|known| cell.holds(&known.entry));
+        let is_held = upstreams.get(id).is_some_and(|known| cell.contains(&known.entry));
         is_held && upstreams.takes_work(id)
     };
     let all: Vec<&UpstreamId> =
--- a/crates/dispatch/src/scheduler/rate_placing.rs
+++ b/crates/dispatch/src/scheduler/rate_placing.rs
@@ -51,11 +51,11 @@
     }
 
     /// What is lent to a cell's scheduler, which is the first in order for it or stands in for that one.
-    pub(super) fn lent(&self, now_ms: Millis, cell: &Cell, is_first: bool) -> Lent {
+    pub(super) fn lent(&self, now_ms: Millis, cell: &Cell, is_primary: bool) -> Lent {
         let lenders = f64::from(self.lenders.count(now_ms, cell));
         let part = |of: u32| (lenders / f64::from(of.max(1))).min(1.0);
         let using = if cell.zone.is_some() { self.fleet.hosts_in_zone } else { self.fleet.hosts };
-        Lent { of_fleet: part(self.fleet.hosts), of_cell: part(using), is_first }
+        Lent { of_fleet: part(self.fleet.hosts), of_cell: part(using), is_primary }
     }
 }
 
--- a/crates/dispatch/src/scheduler/set.rs
+++ b/crates/dispatch/src/scheduler/set.rs
@@ -10,7 +10,7 @@
 use rand_pcg::Pcg64Mcg;
 
 /// How often requests that wait are looked at, besides when something is learned.
-const TURN_MS: Millis = Millis(4);
+const SCHEDULE_INTERVAL_MS: Millis = Millis(4);
 
 /// The schedulers of a host, by cell; they come with the first request and go with the last.
 #[derive(Debug)]
@@ -36,24 +36,24 @@
     }
 
     /// Takes for which cells this host is the first in order.
-    pub fn set_first(&mut self, is_first: impl Fn(&Cell) -> bool) {
+    pub fn set_primary(&mut self, is_primary: impl Fn(&Cell) -> bool) {
         for (cell, scheduler) in &mut self.schedulers {
-            scheduler.is_first = Some(is_first(cell));
+            scheduler.is_primary = Some(is_primary(cell));
         }
     }
 
     /// Whether for some cell nobody has looked yet whether this host is the first in order.
-    pub fn has_unordered(&self) -> bool {
-        self.schedulers.values().any(|scheduler| scheduler.is_first.is_none())
+    pub fn has_unknown_primary(&self) -> bool {
+        self.schedulers.values().any(|scheduler| scheduler.is_primary.is_none())
     }
 
     /// From now on nothing new is taken.
-    pub fn leave(&mut self) {
+    pub fn stop_accepting(&mut self) {
         self.is_leaving = true;
     }
 
     /// Takes a host's message.
-    pub fn take(
+    pub fn handle_message(
         &mut self,
         now_ms: Millis,
         message: PlacementMessage,
@@ -105,13 +105,13 @@
             | PlacementMessage::Refused { .. } => None,
         };
         if let Some(scheduler) = scheduler {
-            scheduler.turn(now_ms, upstreams, &mut self.rates, rng, &mut effects);
+            scheduler.schedule(now_ms, upstreams, &mut self.rates, rng, &mut effects);
         }
         effects
     }
 
     /// Something was learned of upstreams, or time has passed.
-    pub fn turn(
+    pub fn schedule(
         &mut self,
         now_ms: Millis,
         upstreams: &mut UpstreamSet,
@@ -119,7 +119,7 @@
     ) -> Vec<Effect> {
         let mut effects = Vec::new();
         for scheduler in self.schedulers.values_mut() {
-            scheduler.turn(now_ms, upstreams, &mut self.rates, rng, &mut effects);
+            scheduler.schedule(now_ms, upstreams, &mut self.rates, rng, &mut effects);
         }
         self.rates.forget(now_ms, upstreams);
         self.schedulers.retain(|_, scheduler| !scheduler.is_idle());
@@ -127,13 +127,13 @@
     }
 
     /// When to look again; none while nothing waits.
-    pub fn next_turn_ms(&self, now_ms: Millis) -> Option<Millis> {
+    pub fn next_schedule_ms(&self, now_ms: Millis) -> Option<Millis> {
         let waits = |scheduler: &Scheduler| !scheduler.waiting.is_empty();
-        self.schedulers.values().any(waits).then_some(now_ms + TURN_MS)
+        self.schedulers.values().any(waits).then_some(now_ms + SCHEDULE_INTERVAL_MS)
     }
 
     /// Requests that wait for a place.
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.schedulers.values().map(|scheduler| scheduler.waiting.len()).sum()
     }
 }
--- a/crates/dispatch/tests/backoff.rs
+++ b/crates/dispatch/tests/backoff.rs
@@ -133,11 +133,17 @@
 
     fn take(&mut self, host: u16, message: PlacementMessage) -> Vec<Effect> {
         let requester = Requester::Peer(([127, 0, 0, 1], host).into());
-        self.schedulers.take(self.now_ms, message, requester, &mut self.upstreams, &mut self.rng)
+        self.schedulers.handle_message(
+            self.now_ms,
+            message,
+            requester,
+            &mut self.upstreams,
+            &mut self.rng,
+        )
     }
 
     fn turn(&mut self) -> Vec<Effect> {
-        self.schedulers.turn(self.now_ms, &mut self.upstreams, &mut self.rng)
+        self.schedulers.schedule(self.now_ms, &mut self.upstreams, &mut self.rng)
     }
 
     fn submit(&mut self, host: u16, backing_off: &[&str]) -> (Ticket, Vec<Effect>) {
--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -78,7 +78,7 @@
 ) {
     let set = set_of(&site(12), evacuated);
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    let cell = Cell::of(&service(), &zone("kariakoo"), &set, &mut rng);
+    let cell = Cell::for_request(&service(), &zone("kariakoo"), &set, &mut rng);
     assert_eq!(cell.zone, wanted.map(zone));
 }
 
@@ -90,7 +90,7 @@
     let set = set_of(&entries, &["kariakoo"]);
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let drawn = (0..1_000).filter(|_| {
-        let cell = Cell::of(&service(), &zone("kariakoo"), &set, &mut rng);
+        let cell = Cell::for_request(&service(), &zone("kariakoo"), &set, &mut rng);
         cell.zone == Some(zone("temeke"))
     });
     assert!((700..800).contains(&drawn.count()));
@@ -108,13 +108,13 @@
         set.note_report(NOW, (&id(name), RunStart::default()), report(6, 6, 100));
     }
     let requester = Requester::OwnHost;
-    let effects = schedulers.take(NOW, submit(1, &cell), requester, &mut set, &mut rng);
+    let effects = schedulers.handle_message(NOW, submit(1, &cell), requester, &mut set, &mut rng);
     assert!(placed(&effects).is_empty(), "{effects:?}");
     set.sync(NOW, entries.iter(), &evacuations(&["kariakoo"]));
     set.note_report(NOW, (&id("i-1"), RunStart::default()), report(0, 0, 100));
-    assert!(placed(&schedulers.turn(NOW, &mut set, &mut rng)).is_empty());
+    assert!(placed(&schedulers.schedule(NOW, &mut set, &mut rng)).is_empty());
     set.note_report(NOW, (&id("i-2"), RunStart::default()), report(0, 0, 100));
-    assert_eq!(placed(&schedulers.turn(NOW, &mut set, &mut rng)), ["i-2"]);
+    assert_eq!(placed(&schedulers.schedule(NOW, &mut set, &mut rng)), ["i-2"]);
 }
 
 fn placed(effects: &[Effect]) -> Vec<String> {
@@ -134,7 +134,8 @@
     let cell = Cell { service: service(), zone: None };
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut schedulers = SchedulerSet::new("front-1".parse().unwrap());
-    let effects = schedulers.take(NOW, submit(1, &cell), Requester::OwnHost, &mut set, &mut rng);
+    let effects =
+        schedulers.handle_message(NOW, submit(1, &cell), Requester::OwnHost, &mut set, &mut rng);
     let is_refused = |effect: &Effect| {
         let no_upstream = RefusalCause::NoUpstream;
         matches!(effect, Effect::Send { message: PlacementMessage::Refused { cause, .. }, .. }
--- a/crates/dispatch/tests/restart.rs
+++ b/crates/dispatch/tests/restart.rs
@@ -69,7 +69,7 @@
     let mut rng = Pcg64Mcg::seed_from_u64(7);
     let requester = Requester::Peer("127.0.0.1:7000".parse().unwrap());
     let mut take = |upstreams: &mut UpstreamSet, message| {
-        schedulers.take(NOW, message, requester, upstreams, &mut rng)
+        schedulers.handle_message(NOW, message, requester, upstreams, &mut rng)
     };
     upstreams.note_report(NOW, (&id("i-1"), FORMER), report(0, 0, 100));
     take(&mut upstreams, submit(1));
--- a/crates/dispatch/tests/scheduler.rs
+++ b/crates/dispatch/tests/scheduler.rs
@@ -55,12 +55,18 @@
     }
 
     fn turn(&mut self) -> Vec<Effect> {
-        self.schedulers.turn(self.now_ms, &mut self.upstreams, &mut self.rng)
+        self.schedulers.schedule(self.now_ms, &mut self.upstreams, &mut self.rng)
     }
 
     fn take(&mut self, message: PlacementMessage) -> Vec<Effect> {
         let requester = Requester::Peer("127.0.0.1:7000".parse().unwrap());
-        self.schedulers.take(self.now_ms, message, requester, &mut self.upstreams, &mut self.rng)
+        self.schedulers.handle_message(
+            self.now_ms,
+            message,
+            requester,
+            &mut self.upstreams,
+            &mut self.rng,
+        )
     }
 
     fn submission(&mut self, tried: &[&str]) -> Submission {
@@ -396,7 +402,7 @@
 fn a_host_that_leaves_takes_no_more() {
     let mut play = Play::new(&["i-1"]);
     play.tell("i-1", report(0, 0, 100));
-    play.schedulers.leave();
+    play.schedulers.stop_accepting();
     let (ticket, effects) = play.submit();
     assert_eq!(fate(&effects, ticket), Fate::Refused(RefusalCause::NoUpstream));
 }
--- a/crates/dispatch/tests/support/rate_site.rs
+++ b/crates/dispatch/tests/support/rate_site.rs
@@ -313,7 +313,7 @@
             Event::Scheduler { to, from, message } if self.is_up(to) => {
                 let requester = requester(to, from);
                 let Host { schedulers, upstreams, rng, .. } = &mut self.hosts[to];
-                let effects = schedulers.take(now_ms, message, requester, upstreams, rng);
+                let effects = schedulers.handle_message(now_ms, message, requester, upstreams, rng);
                 self.carry_out(to, effects);
             }
             Event::Host { to, message } if self.is_up(to) => self.hear(to, message),
@@ -339,7 +339,7 @@
                 }
                 let Some(to) = self.open.remove(&(host, ticket)) else { return };
                 let silent = self.hosts[to].member.host.clone();
-                self.hosts[host].directory.note_silent(now_ms, &silent);
+                self.hosts[host].directory.record_timeout(now_ms, &silent);
                 self.withdraw(host, to, Ticket(ticket));
                 self.send_alone(host);
             }
@@ -410,7 +410,7 @@
                 self.queued.insert((host, ticket.0));
                 if let Some(&to) = self.open.get(&(host, ticket.0)) {
                     let scheduler = self.hosts[to].member.host.clone();
-                    self.hosts[host].directory.note_heard(&scheduler);
+                    self.hosts[host].directory.record_response(&scheduler);
                 }
             }
             PlacementMessage::Submit(_)
@@ -426,15 +426,15 @@
         let now_ms = Millis(self.now_ms);
         let fleet = known_fleet(&self.site, now_ms);
         let is_due = self.now_ms.is_multiple_of(OFFER_EACH_MS);
-        if is_due || self.hosts[at].schedulers.has_unordered() {
+        if is_due || self.hosts[at].schedulers.has_unknown_primary() {
             self.note_order(at);
         }
         let Host { schedulers, upstreams, rng, .. } = &mut self.hosts[at];
         schedulers.set_fleet(fleet);
-        if schedulers.next_turn_ms(now_ms).is_none() {
+        if schedulers.next_schedule_ms(now_ms).is_none() {
             return;
         }
-        let effects = schedulers.turn(now_ms, upstreams, rng);
+        let effects = schedulers.schedule(now_ms, upstreams, rng);
         self.carry_out(at, effects);
     }
 
@@ -444,10 +444,10 @@
             _ => self.members(),
         };
         let own = self.hosts[at].member.host.clone();
-        let is_first = |cell: &Cell| {
-            Directory::first(cell, members.iter()).is_some_and(|first| first.host == own)
+        let is_primary = |cell: &Cell| {
+            Directory::primary(cell, members.iter()).is_some_and(|first| first.host == own)
         };
-        self.hosts[at].schedulers.set_first(is_first);
+        self.hosts[at].schedulers.set_primary(is_primary);
     }
 
     fn carry_out(&mut self, at: usize, effects: Vec<Effect>) {
--- a/crates/emulator/src/play/scheduled.rs
+++ b/crates/emulator/src/play/scheduled.rs
@@ -114,7 +114,8 @@
     pub(super) fn at_scheduler(&mut self, message: PlacementMessage) {
         let now_ms = self.now();
         let SchedulingHost { schedulers, upstreams, rng, .. } = &mut self.scheduler;
-        let effects = schedulers.take(now_ms, message, Requester::OwnHost, upstreams, rng);
+        let effects =
+            schedulers.handle_message(now_ms, message, Requester::OwnHost, upstreams, rng);
         self.carry_out(effects);
     }
 
@@ -126,7 +127,7 @@
     fn turn(&mut self) {
         let now_ms = self.now();
         let SchedulingHost { schedulers, upstreams, rng, .. } = &mut self.scheduler;
-        let effects = schedulers.turn(now_ms, upstreams, rng);
+        let effects = schedulers.schedule(now_ms, upstreams, rng);
         self.carry_out(effects);
     }
 
@@ -154,7 +155,7 @@
                 }
             }
         }
-        let next_ms = self.scheduler.schedulers.next_turn_ms(self.now());
+        let next_ms = self.scheduler.schedulers.next_schedule_ms(self.now());
         if let Some(next_ms) = next_ms.filter(|_| !self.scheduler.is_turn_due) {
             self.scheduler.is_turn_due = true;
             self.timeline.add(next_ms.as_f64().max(self.now_ms), Event::Turn);
--- a/crates/gateway/src/placing.rs
+++ b/crates/gateway/src/placing.rs
@@ -108,7 +108,7 @@
 
     /// A peer is there in a new run.
     pub fn forget_silence(&self, peer: &HostId) {
-        self.directory.borrow_mut().note_heard(peer);
+        self.directory.borrow_mut().record_response(peer);
     }
 
     /// Sends a datagram to peers. Lost is lost: whoever needs to know finds it missing.
@@ -152,7 +152,7 @@
     loop {
         match clock::timeout(longest, received.recv()).await {
             Ok(Some(reply)) => {
-                host.placing.directory.borrow_mut().note_heard(&scheduler.host);
+                host.placing.directory.borrow_mut().record_response(&scheduler.host);
                 match reply {
                     SchedulerReply::Queued => {
                         host.placing.note_wait(&cell.service, host.now_ms());
@@ -185,7 +185,7 @@
 
 fn note_silent(host: &Host, scheduler: &HostId, cell: &Cell) {
     let now_ms = host.now_ms();
-    let is_passed_over = host.placing.directory.borrow_mut().note_silent(now_ms, scheduler);
+    let is_passed_over = host.placing.directory.borrow_mut().record_timeout(now_ms, scheduler);
     host.log.write(&LogEvent::SchedulerSilent { scheduler, cell, is_passed_over });
 }
 
--- a/crates/gateway/src/placing/scheduling.rs
+++ b/crates/gateway/src/placing/scheduling.rs
@@ -12,23 +12,23 @@
 /// Takes a host's message to a scheduler.
 pub(super) fn take(host: &Rc<Host>, message: PlacementMessage, requester: Requester) {
     act(host, |schedulers, now_ms, upstreams, rng| {
-        schedulers.take(now_ms, message, requester, upstreams, rng)
+        schedulers.handle_message(now_ms, message, requester, upstreams, rng)
     });
 }
 
 /// Looks again at all that waits: something was learned, or time has passed.
 pub fn turn(host: &Rc<Host>) {
-    act(host, SchedulerSet::turn);
+    act(host, SchedulerSet::schedule);
 }
 
 /// Looks for which cells no other host comes before this one.
 pub fn note_order(host: &Host) {
     let members = host.members();
-    let is_first = |cell: &Cell| {
+    let is_primary = |cell: &Cell| {
         let all = members.others().chain(std::iter::once(members.own()));
-        Directory::first(cell, all).is_some_and(|first| first.host == members.own().host)
+        Directory::primary(cell, all).is_some_and(|first| first.host == members.own().host)
     };
-    host.placing.schedulers.borrow_mut().set_first(is_first);
+    host.placing.schedulers.borrow_mut().set_primary(is_primary);
 }
 
 /// Has the schedulers decide, and carries out what they decided.
@@ -43,7 +43,7 @@
         &mut host.upstreams.borrow_mut(),
         &mut host.rng.borrow_mut(),
     );
-    if host.placing.schedulers.borrow().has_unordered() {
+    if host.placing.schedulers.borrow().has_unknown_primary() {
         note_order(host);
     }
     carry_out(host, effects);
@@ -52,7 +52,7 @@
 /// Looks at what waits as often as it has to be; never ends.
 pub async fn run(host: Rc<Host>) {
     loop {
-        let next_ms = host.placing.schedulers.borrow().next_turn_ms(host.now_ms());
+        let next_ms = host.placing.schedulers.borrow().next_schedule_ms(host.now_ms());
         match next_ms {
             Some(next_ms) => {
                 host.clock.sleep_until(next_ms).await;
@@ -77,7 +77,7 @@
             }
         }
     }
-    if host.placing.schedulers.borrow().waiting() > 0 {
+    if host.placing.schedulers.borrow().waiting_count() > 0 {
         host.placing.is_waiting.notify_one();
     }
 }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -233,7 +233,7 @@
     host.log.write(&LogEvent::Ready { is_ready: false, reason: "stopping" });
     host.stopping.send_replace(true);
     peers.act(Gossip::leave);
-    host.placing.schedulers.borrow_mut().leave();
+    host.placing.schedulers.borrow_mut().stop_accepting();
     clock::sleep(NOTICE.min(duration(limit_ms))).await;
     host.closing.send_replace(true);
     let is_busy = || host.open_requests.get() > 0 || host.open_sessions.get() > 0;
--- a/crates/gateway/src/serve/finding.rs
+++ b/crates/gateway/src/serve/finding.rs
@@ -153,7 +153,7 @@
         let zone = self.host.settings.borrow().availability_zone.clone();
         let cell = {
             let (upstreams, mut rng) = (self.host.upstreams.borrow(), self.host.rng.borrow_mut());
-            Cell::of(&self.service, &zone, &upstreams, &mut rng)
+            Cell::for_request(&self.service, &zone, &upstreams, &mut rng)
         };
         let asked_zone = cell.zone.clone();
         let placement = placing::place(&self.host, cell, self.submission(&zone, counts)).await;
