--- a/crates/dispatch/src/fleet_rate/sharing.rs
+++ b/crates/dispatch/src/fleet_rate/sharing.rs
@@ -2,7 +2,7 @@
 
 use super::budget::{FleetRate, RateBudget};
 use crate::scheduler::{Cell, Requester};
-use crate::subset::FleetShape;
+use crate::subset::FleetSize;
 use crate::upstream_set::UpstreamSet;
 use domain::{FastMap, HostId, Millis, ServiceName, UpstreamId};
 
@@ -27,9 +27,9 @@
 
 /// The hosts that share what the fleet may send to an upstream, as a host sees them so long
 /// after its start.
-pub fn sharing_fleet(known: FleetShape, since_start_ms: Millis) -> FleetShape {
+pub fn sharing_fleet(known: FleetSize, since_start_ms: Millis) -> FleetSize {
     match since_start_ms < KNOWING_MS {
-        true => FleetShape {
+        true => FleetSize {
             hosts: known.hosts.max(UNKNOWN_HOSTS),
             hosts_in_zone: known.hosts_in_zone.max(UNKNOWN_HOSTS),
         },
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -7,7 +7,6 @@
 //! load that they bear; [`attempts`] holds the rules of repeating; [`budget`] the host's part of what the
 //! whole fleet may spend.
 
-mod asking;
 pub mod attempts;
 pub mod backpressure;
 pub mod budget;
@@ -18,6 +17,7 @@
 mod deadline;
 mod fleet_rate;
 mod load;
+mod probing;
 pub mod quarantine;
 pub mod scheduler;
 mod service;
@@ -27,7 +27,6 @@
 mod upstream;
 mod upstream_set;
 
-pub use asking::{ASKED_AT_ONCE, AT_ONCE, GOOD_ENOUGH, ROUNDS, UNWELL_COST};
 pub use choice::{Candidate, Weighing, weigh};
 pub use cold::Warmth;
 pub use connections::{MOST_KEPT, kept_connections};
@@ -35,9 +34,12 @@
 pub use deadline::{DeadlineCheck, Offer, Verdict};
 pub use fleet_rate::{FleetRate, RateSender, sharing_fleet};
 pub use load::LoadReport;
+pub use probing::{
+    GOOD_ENOUGH_COST, IMMEDIATE_COST, PROBE_ROUNDS, PROBES_PER_ROUND, UNHEALTHY_COST,
+};
 pub use service::Run;
 pub use service_load::ServiceLoad;
 pub use split::SplitTable;
-pub use subset::{ALL, FAR, FleetShape, NEAR, Subset};
+pub use subset::{FULL_SUBSET_MAX, FleetSize, LOCAL_ZONE_UPSTREAMS, OTHER_ZONE_UPSTREAMS, Subset};
 pub use upstream::{AskFailure, Known, SendFailure};
 pub use upstream_set::{Reach, UpstreamSet};
--- a/crates/dispatch/src/asking.rs
+++ b/crates/dispatch/src/probing.rs
@@ -4,17 +4,17 @@
 
 /// Upstreams that are asked at once before a request is sent. With three the credit of a
 /// quiet day is 0.97; a fourth gained nothing, random choice earned 0.62 to 0.70.
-pub const ASKED_AT_ONCE: usize = 3;
+pub const PROBES_PER_ROUND: usize = 3;
 
 /// Cost up to which nobody else is asked.
-pub const GOOD_ENOUGH: f64 = 2.0;
+pub const GOOD_ENOUGH_COST: f64 = 2.0;
 
 /// Cost at which no other answer is waited for: idle and not slowed.
-pub const AT_ONCE: f64 = 1.2;
+pub const IMMEDIATE_COST: f64 = 1.2;
 
 /// How many are asked in each round: the own zone, then mostly others.
-pub const ROUNDS: [&[(usize, Reach)]; 2] =
-    [&[(ASKED_AT_ONCE, Reach::Near)], &[(ASKED_AT_ONCE - 1, Reach::Far), (1, Reach::Near)]];
+pub const PROBE_ROUNDS: [&[(usize, Reach)]; 2] =
+    [&[(PROBES_PER_ROUND, Reach::Near)], &[(PROBES_PER_ROUND - 1, Reach::Far), (1, Reach::Near)]];
 
 /// What makes an upstream that says it is unwell the last resort: its word may be false.
-pub const UNWELL_COST: f64 = 50.0;
+pub const UNHEALTHY_COST: f64 = 50.0;
--- a/crates/dispatch/src/scheduler/cell.rs
+++ b/crates/dispatch/src/scheduler/cell.rs
@@ -1,6 +1,6 @@
 //! What is scheduled by one host.
 
-use crate::subset::ALL;
+use crate::subset::FULL_SUBSET_MAX;
 use crate::upstream_set::UpstreamSet;
 use domain::{ServiceName, ZoneName};
 use published::Upstream;
@@ -30,7 +30,7 @@
         upstreams: &UpstreamSet,
         rng: &mut Pcg64Mcg,
     ) -> Cell {
-        let is_divided = upstreams.of_service(service).len() > ALL;
+        let is_divided = upstreams.of_service(service).len() > FULL_SUBSET_MAX;
         let zone = match is_divided {
             false => None,
             true if upstreams.takes_work_in(service, zone) => Some(zone.clone()),
--- a/crates/dispatch/src/scheduler/decision.rs
+++ b/crates/dispatch/src/scheduler/decision.rs
@@ -11,9 +11,9 @@
 use super::job::Job;
 use super::message::RefusalCause;
 use super::rate_placing::{hoped_share, rate_share};
-use crate::asking::{ASKED_AT_ONCE, AT_ONCE};
 use crate::choice::Candidate;
 use crate::fleet_rate::{Lent, RateBudget};
+use crate::probing::{IMMEDIATE_COST, PROBES_PER_ROUND};
 use crate::upstream_set::UpstreamSet;
 use domain::{Millis, UpstreamId};
 use rand::RngExt;
@@ -82,7 +82,9 @@
             return Decision::Refuse(RefusalCause::NoUpstream);
         }
         let best = offers.iter().find(|offer| offer.has_room);
-        if let Some(best) = best.filter(|best| best.is_fresh && best.candidate.cost <= AT_ONCE) {
+        if let Some(best) =
+            best.filter(|best| best.is_fresh && best.candidate.cost <= IMMEDIATE_COST)
+        {
             return Decision::Place(best.candidate.clone());
         }
         let stale = worth_asking(offers, best.is_some());
@@ -191,5 +193,5 @@
 /// ever.
 fn worth_asking(offers: &[Offer], has_any_room: bool) -> Vec<UpstreamId> {
     let stale = offers.iter().filter(|offer| !offer.is_fresh && offer.has_room == has_any_room);
-    stale.take(ASKED_AT_ONCE).map(|offer| offer.candidate.upstream.clone()).collect()
+    stale.take(PROBES_PER_ROUND).map(|offer| offer.candidate.upstream.clone()).collect()
 }
--- a/crates/dispatch/src/scheduler/rate_placing.rs
+++ b/crates/dispatch/src/scheduler/rate_placing.rs
@@ -3,7 +3,7 @@
 use super::freshness::just_told;
 use super::{Cell, Requester};
 use crate::fleet_rate::{Lenders, Lent, RateBudget};
-use crate::subset::FleetShape;
+use crate::subset::FleetSize;
 use crate::upstream::Known;
 use crate::upstream_set::UpstreamSet;
 use domain::{HostId, Millis, UpstreamId};
@@ -13,16 +13,16 @@
 pub(super) struct RatePlacing {
     pub(super) budget: RateBudget,
     lenders: Lenders,
-    fleet: FleetShape,
+    fleet: FleetSize,
 }
 
 impl RatePlacing {
     pub(super) fn new(host: HostId) -> RatePlacing {
-        let alone = FleetShape { hosts: 1, hosts_in_zone: 1 };
+        let alone = FleetSize { hosts: 1, hosts_in_zone: 1 };
         RatePlacing { budget: RateBudget::new(host), lenders: Lenders::default(), fleet: alone }
     }
 
-    pub(super) fn set_fleet(&mut self, fleet: FleetShape) {
+    pub(super) fn set_fleet(&mut self, fleet: FleetSize) {
         self.fleet = fleet;
     }
 
--- a/crates/dispatch/src/scheduler/set.rs
+++ b/crates/dispatch/src/scheduler/set.rs
@@ -4,7 +4,7 @@
 use super::message::{Effect, PlacementMessage, RefusalCause, Requester, Withdrawal};
 use super::rate_placing::RatePlacing;
 use super::{Cell, Scheduler};
-use crate::subset::FleetShape;
+use crate::subset::FleetSize;
 use crate::upstream_set::UpstreamSet;
 use domain::{FastMap, HostId, Millis};
 use rand_pcg::Pcg64Mcg;
@@ -31,7 +31,7 @@
     }
 
     /// Takes how many hosts there are: each has an equal share of what the fleet may send.
-    pub fn set_fleet(&mut self, fleet: FleetShape) {
+    pub fn set_fleet(&mut self, fleet: FleetSize) {
         self.rates.set_fleet(fleet);
     }
 
--- a/crates/dispatch/src/subset.rs
+++ b/crates/dispatch/src/subset.rs
@@ -11,22 +11,22 @@
 use published::{Eligibility, Preferred, preferred};
 
 /// Up to so many upstreams of a service, a host's subset is all of them.
-pub const ALL: usize = 20;
+pub const FULL_SUBSET_MAX: usize = 20;
 
 /// Upstreams of its own availability zone in a host's subset of a service. Three are asked
 /// at a time, so there have to be some more to choose from; each costs two connections.
-pub const NEAR: usize = 8;
+pub const LOCAL_ZONE_UPSTREAMS: usize = 8;
 
 /// Upstreams of other zones in it, for what the own zone has no room for. Without them
 /// requests queued at full upstreams while other zones' were idle: 0.80 of the credit.
-pub const FAR: usize = 4;
+pub const OTHER_ZONE_UPSTREAMS: usize = 4;
 
 /// How many times as many hosts as there are share what is asked outside of subsets.
 const OUTSIDE: f64 = 8.0;
 
 /// Hosts that share an upstream's health checks.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct FleetShape {
+pub struct FleetSize {
     /// All hosts.
     pub hosts: u32,
     /// Those in this host's availability zone.
@@ -55,9 +55,9 @@
         let entries = || usable().map(|known| &*known.entry);
         let usable_upstreams = usable().count();
         let upstreams_in_zone = entries().filter(|entry| entry.availability_zone == *zone).count();
-        let most = match usable_upstreams <= ALL {
-            true => Preferred { near: ALL, far: ALL },
-            false => Preferred { near: NEAR, far: FAR },
+        let most = match usable_upstreams <= FULL_SUBSET_MAX {
+            true => Preferred { near: FULL_SUBSET_MAX, far: FULL_SUBSET_MAX },
+            false => Preferred { near: LOCAL_ZONE_UPSTREAMS, far: OTHER_ZONE_UPSTREAMS },
         };
         let chosen = preferred(host, zone, most, entries());
         let members = chosen.into_iter().map(|entry| entry.id.clone()).collect();
@@ -70,26 +70,27 @@
     }
 
     /// About how many hosts of its own availability zone share those of an upstream there.
-    pub fn sharing_neighbours(&self, fleet: FleetShape) -> f64 {
+    pub fn probing_hosts_in_zone(&self, fleet: FleetSize) -> f64 {
         let near = f64::from(fleet.hosts_in_zone.max(1));
-        let most = if self.upstreams <= ALL { ALL } else { NEAR };
+        let most =
+            if self.upstreams <= FULL_SUBSET_MAX { FULL_SUBSET_MAX } else { LOCAL_ZONE_UPSTREAMS };
         near * (most as f64 / self.upstreams_in_zone.max(1) as f64).min(1.0)
     }
 
     /// About how many hosts share the health checks of an upstream.
-    pub fn sharing_hosts(&self, id: &UpstreamId, fleet: FleetShape) -> f64 {
+    pub fn probing_hosts(&self, id: &UpstreamId, fleet: FleetSize) -> f64 {
         let hosts = f64::from(fleet.hosts.max(1));
         let near = f64::from(fleet.hosts_in_zone.clamp(1, fleet.hosts.max(1)));
         let part = |most: usize, of: usize| (most as f64 / of.max(1) as f64).min(1.0);
-        let is_all = self.upstreams <= ALL;
+        let is_all = self.upstreams <= FULL_SUBSET_MAX;
         match self.contains(id) {
             false => hosts * OUTSIDE,
             true if is_all => hosts,
             true => {
-                let near_part = near * part(NEAR, self.upstreams_in_zone);
+                let near_part = near * part(LOCAL_ZONE_UPSTREAMS, self.upstreams_in_zone);
                 // Zones whose own upstreams are few fill up from all others.
-                let spare = NEAR.saturating_sub(self.upstreams_in_zone);
-                let far_part = hosts * part(FAR + spare, self.upstreams);
+                let spare = LOCAL_ZONE_UPSTREAMS.saturating_sub(self.upstreams_in_zone);
+                let far_part = hosts * part(OTHER_ZONE_UPSTREAMS + spare, self.upstreams);
                 (near_part + far_part).min(hosts)
             }
         }
--- a/crates/dispatch/src/upstream_set.rs
+++ b/crates/dispatch/src/upstream_set.rs
@@ -14,7 +14,7 @@
 use crate::curve::SpeedCurve;
 use crate::service::{Run, Service};
 use crate::service_load::ServiceLoad;
-use crate::subset::{FleetShape, Subset};
+use crate::subset::{FleetSize, Subset};
 use crate::upstream::Known;
 use domain::{FastMap, HostId, Millis, ServiceName, UpstreamId, ZoneName};
 use held_back::eligibility;
@@ -77,17 +77,17 @@
     }
 
     /// About how many hosts share the health checks of an upstream.
-    pub fn sharing_hosts(&self, service: &ServiceName, id: &UpstreamId, fleet: FleetShape) -> f64 {
+    pub fn probing_hosts(&self, service: &ServiceName, id: &UpstreamId, fleet: FleetSize) -> f64 {
         let service = self.services.get(service);
-        service.map_or(f64::from(fleet.hosts), |service| service.subset.sharing_hosts(id, fleet))
+        service.map_or(f64::from(fleet.hosts), |service| service.subset.probing_hosts(id, fleet))
     }
 
     /// About how many hosts of this availability zone share the health checks of an upstream
     /// of it.
-    pub fn sharing_neighbours(&self, service: &ServiceName, fleet: FleetShape) -> f64 {
+    pub fn probing_hosts_in_zone(&self, service: &ServiceName, fleet: FleetSize) -> f64 {
         let service = self.services.get(service);
         let near = f64::from(fleet.hosts_in_zone);
-        service.map_or(near, |service| service.subset.sharing_neighbours(fleet))
+        service.map_or(near, |service| service.subset.probing_hosts_in_zone(fleet))
     }
 
     /// One upstream.
--- a/crates/dispatch/tests/subset.rs
+++ b/crates/dispatch/tests/subset.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use dispatch::{FAR, FleetShape, NEAR, Reach, UpstreamSet};
+use dispatch::{FleetSize, LOCAL_ZONE_UPSTREAMS, OTHER_ZONE_UPSTREAMS, Reach, UpstreamSet};
 use domain::{FastMap, Millis};
 use published::{Entry, Evacuations, Upstream};
 use rand::SeedableRng;
@@ -33,7 +33,7 @@
                 Millis(1),
                 &"parts".parse().unwrap(),
                 &[],
-                (NEAR + FAR, Reach::Near),
+                (LOCAL_ZONE_UPSTREAMS + OTHER_ZONE_UPSTREAMS, Reach::Near),
                 |_| false,
                 &mut rng,
             );
@@ -79,8 +79,8 @@
         &mut rng,
     );
     let hosts = u32::try_from(hosts_per_zone).unwrap();
-    let fleet = FleetShape { hosts: hosts * 3, hosts_in_zone: hosts };
-    let sharing = set.sharing_hosts(&"parts".parse().unwrap(), &asked[0], fleet);
+    let fleet = FleetSize { hosts: hosts * 3, hosts_in_zone: hosts };
+    let sharing = set.probing_hosts(&"parts".parse().unwrap(), &asked[0], fleet);
     assert!(sharing >= mean * 0.9, "{sharing} of {mean}");
 }
 
--- a/crates/dispatch/tests/support/rate_site/host.rs
+++ b/crates/dispatch/tests/support/rate_site/host.rs
@@ -3,7 +3,7 @@
 use super::super::{entry, id};
 use super::{AFTER_MS, Harm, Reason, SLOTS, Site, ZONES, service, zone};
 use dispatch::scheduler::{Cell, Directory, Requester, SchedulerSet};
-use dispatch::{FleetShape, RateSender, UpstreamSet, sharing_fleet};
+use dispatch::{FleetSize, RateSender, UpstreamSet, sharing_fleet};
 use domain::{Connections, HostId, Incarnation, Millis, PerSecond, Slots};
 use published::{Capacity, Entry, Evacuations, Member, ServiceSettings, Upstream};
 use rand::SeedableRng;
@@ -62,11 +62,11 @@
 }
 
 /// The fleet as its hosts know it: of those that have just started each knows itself only.
-pub(super) fn known_fleet(site: &Site, now_ms: Millis) -> FleetShape {
+pub(super) fn known_fleet(site: &Site, now_ms: Millis) -> FleetSize {
     let (hosts, hosts_in_zone) = (site.hosts as u32, site.hosts.div_ceil(ZONES) as u32);
     match site.harm {
-        Harm::JustStarted => sharing_fleet(FleetShape { hosts: 1, hosts_in_zone: 1 }, now_ms),
-        _ => FleetShape { hosts, hosts_in_zone },
+        Harm::JustStarted => sharing_fleet(FleetSize { hosts: 1, hosts_in_zone: 1 }, now_ms),
+        _ => FleetSize { hosts, hosts_in_zone },
     }
 }
 
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -15,7 +15,10 @@
 use crate::connection::Connection;
 use crate::host::Host;
 use clock::Moment;
-use dispatch::{ASKED_AT_ONCE, AT_ONCE, Candidate, GOOD_ENOUGH, ROUNDS, Reach, UNWELL_COST};
+use dispatch::{
+    Candidate, GOOD_ENOUGH_COST, IMMEDIATE_COST, PROBE_ROUNDS, PROBES_PER_ROUND, Reach,
+    UNHEALTHY_COST,
+};
 use domain::{ServiceName, UpstreamId};
 use question::{CheckBudget, ask_within_limit, may_ask};
 use std::rc::Rc;
@@ -72,7 +75,7 @@
     let mut excluded = excluded.to_vec();
     let mut best: Option<Chosen> = None;
     let (mut asked, mut answered) = (0, 0);
-    for round in ROUNDS {
+    for round in PROBE_ROUNDS {
         let candidates = next_candidates(host, service, &mut excluded, round);
         if candidates.is_empty() {
             break;
@@ -81,7 +84,7 @@
         let (chosen, replies) = ask_round(host, service, candidates, CheckBudget::Own).await;
         answered += replies;
         best = better(host, best, chosen);
-        if best.as_ref().is_some_and(|best| best.cost <= GOOD_ENOUGH) {
+        if best.as_ref().is_some_and(|best| best.cost <= GOOD_ENOUGH_COST) {
             break;
         }
     }
@@ -102,7 +105,7 @@
     let candidates: Vec<UpstreamId> = {
         let upstreams = host.upstreams.borrow();
         let mut rng = host.rng.borrow_mut();
-        let part = (ASKED_AT_ONCE, Reach::Near);
+        let part = (PROBES_PER_ROUND, Reach::Near);
         let pool = host.pool.borrow();
         let is_connected = |id: &UpstreamId| pool.holds(id);
         let held_back = host.held_back(&upstreams, service);
@@ -116,7 +119,7 @@
     let asked = candidates.len();
     let (chosen, answered) = ask_round(host, service, candidates, CheckBudget::Neighbours).await;
     let chosen = chosen?;
-    if chosen.connection.is_some() && chosen.cost <= AT_ONCE {
+    if chosen.connection.is_some() && chosen.cost <= IMMEDIATE_COST {
         return Some(Chosen { asked, answered, ..chosen });
     }
     chosen.put_back(host);
@@ -187,7 +190,7 @@
         open -= 1;
         answered += usize::from(matches!(reply.heard, Heard::Answer { .. }));
         best = better(host, best, weigh(host, reply));
-        if best.as_ref().is_some_and(|best| best.cost <= AT_ONCE) {
+        if best.as_ref().is_some_and(|best| best.cost <= IMMEDIATE_COST) {
             break;
         }
         if best.is_some() {
@@ -223,7 +226,7 @@
         return None;
     }
     let Candidate { upstream, work, cost } = upstreams.weigh(host.now_ms(), &asked.upstream)?;
-    let cost = if is_well { cost } else { cost + UNWELL_COST };
+    let cost = if is_well { cost } else { cost + UNHEALTHY_COST };
     Some(Chosen { upstream, connection, work, cost, asked: 0, answered: 0 })
 }
 
--- a/crates/gateway/src/ask/question.rs
+++ b/crates/gateway/src/ask/question.rs
@@ -67,11 +67,11 @@
     upstream: &UpstreamId,
     budget: CheckBudget,
 ) -> bool {
-    let (upstreams, fleet) = (host.upstreams.borrow(), host.fleet_shape());
+    let (upstreams, fleet) = (host.upstreams.borrow(), host.fleet_size());
     let (budget, sharing) = match budget {
-        CheckBudget::Own => (&host.asks, upstreams.sharing_hosts(service, upstream, fleet)),
+        CheckBudget::Own => (&host.asks, upstreams.probing_hosts(service, upstream, fleet)),
         CheckBudget::Neighbours => {
-            (&host.neighbours_asks, upstreams.sharing_neighbours(service, fleet))
+            (&host.neighbours_asks, upstreams.probing_hosts_in_zone(service, fleet))
         }
     };
     budget.borrow_mut().take(host.now_ms(), upstream, sharing)
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -16,7 +16,7 @@
 use clock::Clock;
 use dispatch::budget::{AskBudget, NEIGHBOURS_ASKS, RepeatBudget, SCHEDULERS_ASKS};
 use dispatch::quarantine::Quarantine;
-use dispatch::{FleetShape, MOST_KEPT, RateSender, SplitTable, UpstreamSet, kept_connections};
+use dispatch::{FleetSize, MOST_KEPT, RateSender, SplitTable, UpstreamSet, kept_connections};
 use domain::{Millis, PerSecond, ServiceName, UpstreamId};
 use published::{Belief, Gossip, Member, Members, Picture, RouteTable};
 use rand::SeedableRng;
@@ -198,9 +198,9 @@
     }
 
     /// Hosts that share health checks.
-    pub fn fleet_shape(&self) -> FleetShape {
+    pub fn fleet_size(&self) -> FleetSize {
         let members = self.members();
-        FleetShape { hosts: members.count(), hosts_in_zone: members.count_in_zone() }
+        FleetSize { hosts: members.count(), hosts_in_zone: members.count_in_zone() }
     }
 
     /// Puts a changed picture to use, and tells operators.
--- a/crates/gateway/src/host/rates.rs
+++ b/crates/gateway/src/host/rates.rs
@@ -1,7 +1,7 @@
 //! What this host may send by itself to upstreams that take less than what comes.
 
 use super::Host;
-use dispatch::{FleetShape, UpstreamSet, sharing_fleet};
+use dispatch::{FleetSize, UpstreamSet, sharing_fleet};
 use domain::{ServiceName, UpstreamId};
 
 impl Host {
@@ -23,7 +23,7 @@
     }
 
     /// Hosts that share what the fleet may send to an upstream.
-    pub fn rate_fleet(&self) -> FleetShape {
-        sharing_fleet(self.fleet_shape(), self.now_ms())
+    pub fn rate_fleet(&self) -> FleetSize {
+        sharing_fleet(self.fleet_size(), self.now_ms())
     }
 }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -209,7 +209,7 @@
         let hosts = fleet(4, &published).await;
         let digests: Vec<u64> = hosts.iter().map(|h| h.host().members().digest()).collect();
         assert!(digests.windows(2).all(|pair| pair[0] == pair[1]), "{digests:?}");
-        assert_eq!(hosts[0].host().fleet_shape().hosts, 4);
+        assert_eq!(hosts[0].host().fleet_size().hosts, 4);
         assert!(hosts[0].host().picture_age_ms().unwrap() < Millis(5_000));
     });
 }
