--- a/crates/dispatch/src/choice.rs
+++ b/crates/dispatch/src/cost.rs
@@ -35,7 +35,7 @@
 
 /// What an upstream is weighed by, besides what is known of it.
 #[derive(Debug, Clone, Copy)]
-pub struct Weighing<'a> {
+pub struct CostInputs<'a> {
     /// Load of its service.
     pub load: ServiceLoad,
     /// How its like slow down as slots fill.
@@ -47,18 +47,18 @@
 }
 
 /// Weighs an upstream for a request that would be sent now.
-pub fn weigh(known: &Known, by: Weighing<'_>) -> Candidate {
+pub fn estimate_cost(known: &Known, inputs: CostInputs<'_>) -> Candidate {
     let slots = f64::from(known.entry.slots.0.max(1));
-    let running = known.occupied(by.now_ms, by.load) + 1.0;
+    let running = known.occupied(inputs.now_ms, inputs.load) + 1.0;
     let wait = ((running - slots) / slots).max(0.0);
-    let cold = match known.warmth(by.now_ms) {
+    let cold = match known.warmth(inputs.now_ms) {
         Warmth::Warm => 1.0,
         Warmth::Cold | Warmth::Unknown => COLD_SLOWNESS,
     };
-    let slow = known.slowness(by.now_ms, by.load).max(LEAST_SLOWNESS) * cold;
-    let work = slow * (1.0 / by.curve.speed(running) + wait);
+    let slow = known.slowness(inputs.now_ms, inputs.load).max(LEAST_SLOWNESS) * cold;
+    let work = slow * (1.0 / inputs.curve.speed(running) + wait);
     let used = slow * USED_WEIGHT * (running / slots).min(1.0);
-    let failing = 1.0 + FAILURE_WEIGHT * known.failure_share(by.now_ms);
-    let other_zone = if by.is_other_zone { OTHER_ZONE } else { 0.0 };
+    let failing = 1.0 + FAILURE_WEIGHT * known.failure_share(inputs.now_ms);
+    let other_zone = if inputs.is_other_zone { OTHER_ZONE } else { 0.0 };
     Candidate { upstream: known.entry.id.clone(), work, cost: (work + used) * failing + other_zone }
 }
--- a/crates/dispatch/src/deadline.rs
+++ b/crates/dispatch/src/deadline.rs
@@ -26,7 +26,7 @@
 
 /// An upstream's offer.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Offer {
+pub struct LatencyEstimate {
     /// How long it would take; none if that is not known yet.
     pub expected_ms: Option<Millis>,
 }
@@ -47,25 +47,27 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
     /// It is taken.
-    Take,
+    #[serde(rename = "take")]
+    Send,
     /// Others are asked after this pause.
-    AskAgain(Millis),
+    #[serde(rename = "ask-again")]
+    ProbeAgain(Millis),
     /// There is none that would be in time: the request is refused.
     Refuse,
 }
 
 impl DeadlineCheck {
     /// Weighs the best offer of a round.
-    pub fn weigh(&self, now_ms: Millis, offer: Offer) -> Verdict {
-        let Some(expected_ms) = offer.expected_ms else { return Verdict::Take };
+    pub fn check(&self, now_ms: Millis, estimate: LatencyEstimate) -> Verdict {
+        let Some(expected_ms) = estimate.expected_ms else { return Verdict::Send };
         let done_ms = now_ms + expected_ms;
         let is_in_time = done_ms <= self.after(1.0);
         let may_wait = now_ms + PAUSE_MS <= self.after(KEPT_BACK);
         match is_in_time {
-            true => Verdict::Take,
-            false if may_wait => Verdict::AskAgain(PAUSE_MS),
+            true => Verdict::Send,
+            false if may_wait => Verdict::ProbeAgain(PAUSE_MS),
             false if done_ms >= self.end_ms.min(self.after(FAR_TOO_LATE)) => Verdict::Refuse,
-            false => Verdict::Take,
+            false => Verdict::Send,
         }
     }
 
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -10,9 +10,9 @@
 pub mod attempts;
 pub mod backpressure;
 pub mod budget;
-mod choice;
 mod cold;
 mod connections;
+mod cost;
 mod curve;
 mod deadline;
 mod fleet_rate;
@@ -27,11 +27,11 @@
 mod upstream;
 mod upstream_set;
 
-pub use choice::{Candidate, Weighing, weigh};
 pub use cold::Warmth;
 pub use connections::{MOST_KEPT, kept_connections};
+pub use cost::{Candidate, CostInputs, estimate_cost};
 pub use curve::{Occupancy, SpeedCurve};
-pub use deadline::{DeadlineCheck, Offer, Verdict};
+pub use deadline::{DeadlineCheck, LatencyEstimate, Verdict};
 pub use fleet_rate::{FleetRate, RateSender, sharing_fleet};
 pub use load::LoadReport;
 pub use probing::{
--- a/crates/dispatch/src/scheduler.rs
+++ b/crates/dispatch/src/scheduler.rs
@@ -31,7 +31,7 @@
 };
 pub use set::SchedulerSet;
 
-use crate::choice::Candidate;
+use crate::cost::Candidate;
 use crate::service::Run;
 use crate::upstream::AskFailure;
 use crate::upstream_set::UpstreamSet;
--- a/crates/dispatch/src/scheduler/decision.rs
+++ b/crates/dispatch/src/scheduler/decision.rs
@@ -11,7 +11,7 @@
 use super::job::Job;
 use super::message::RefusalCause;
 use super::rate_placing::{hoped_share, rate_share};
-use crate::choice::Candidate;
+use crate::cost::Candidate;
 use crate::fleet_rate::{Lent, RateBudget};
 use crate::probing::{IMMEDIATE_COST, PROBES_PER_ROUND};
 use crate::upstream_set::UpstreamSet;
@@ -178,7 +178,7 @@
             return None;
         }
         let may_place = has_one(rate_share(known, now_ms, view.lent));
-        let candidate = upstreams.weigh_from(now_ms, id, &job.zone)?;
+        let candidate = upstreams.estimate_cost_from(now_ms, id, &job.zone)?;
         let is_fresh = just_told(known, now_ms).is_some();
         // Others are not this scheduler's to hold back: what they leave is used. Half a
         // request of theirs may be nothing but what is remembered.
--- a/crates/dispatch/src/scheduler/placed.rs
+++ b/crates/dispatch/src/scheduler/placed.rs
@@ -2,8 +2,8 @@
 
 use super::freshness::just_told;
 use super::job::{Job, Key};
-use crate::choice::Candidate;
 use crate::cold::Warmth;
+use crate::cost::Candidate;
 use crate::curve::Occupancy;
 use crate::upstream::Known;
 use domain::{FastMap, Millis, UpstreamId};
--- a/crates/dispatch/src/upstream_set.rs
+++ b/crates/dispatch/src/upstream_set.rs
@@ -9,8 +9,8 @@
 
 use crate::LoadReport;
 use crate::backpressure::BackpressureSet;
-use crate::choice::{Candidate, Weighing, weigh};
 use crate::cold::Warmth;
+use crate::cost::{Candidate, CostInputs, estimate_cost};
 use crate::curve::SpeedCurve;
 use crate::service::{Run, Service};
 use crate::service_load::ServiceLoad;
@@ -204,12 +204,12 @@
     }
 
     /// What a request of this host would cost at an upstream now.
-    pub fn weigh(&self, now_ms: Millis, id: &UpstreamId) -> Option<Candidate> {
-        self.weigh_from(now_ms, id, &self.zone)
+    pub fn estimate_cost(&self, now_ms: Millis, id: &UpstreamId) -> Option<Candidate> {
+        self.estimate_cost_from(now_ms, id, &self.zone)
     }
 
     /// What a request of a host in an availability zone would cost at an upstream now.
-    pub fn weigh_from(
+    pub fn estimate_cost_from(
         &self,
         now_ms: Millis,
         id: &UpstreamId,
@@ -219,7 +219,7 @@
         let service = self.services.get(&known.entry.service)?;
         let is_other_zone = known.entry.availability_zone != *zone;
         let (load, curve) = (service.load, service.curve(known.entry.slots)?);
-        Some(weigh(known, Weighing { load, curve, now_ms, is_other_zone }))
+        Some(estimate_cost(known, CostInputs { load, curve, now_ms, is_other_zone }))
     }
 
     /// How an upstream slows down as its slots fill.
--- a/crates/dispatch/src/upstream_set/to_ask.rs
+++ b/crates/dispatch/src/upstream_set/to_ask.rs
@@ -102,7 +102,7 @@
     ) -> Option<f64> {
         let known = self.known.get(id)?;
         // The zone is a matter of reach here, not of cost.
-        let cost = self.weigh_from(now_ms, id, &known.entry.availability_zone)?.cost;
+        let cost = self.estimate_cost_from(now_ms, id, &known.entry.availability_zone)?.cost;
         let is_preferred = is_connected || self.is_newcomer(now_ms, known);
         let connecting = if is_preferred { 0.0 } else { UNCONNECTED };
         Some(cost * (1.0 + SHAKE * rng.random::<f64>()) + connecting)
--- a/crates/dispatch/tests/choice.rs
+++ b/crates/dispatch/tests/choice.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use dispatch::{
-    AskFailure, Candidate, Known, Reach, SendFailure, ServiceLoad, SpeedCurve, Weighing,
+    AskFailure, Candidate, CostInputs, Known, Reach, SendFailure, ServiceLoad, SpeedCurve,
 };
 use domain::{Millis, Slots, UpstreamId};
 use published::{Evacuations, RunStart, UpstreamMode};
@@ -32,12 +32,12 @@
 }
 
 fn cost(known: &Known) -> f64 {
-    weigh(known, ServiceLoad::default(), false).cost
+    estimate_cost(known, ServiceLoad::default(), false).cost
 }
 
-fn weigh(known: &Known, load: ServiceLoad, is_other_zone: bool) -> Candidate {
+fn estimate_cost(known: &Known, load: ServiceLoad, is_other_zone: bool) -> Candidate {
     let curve = SpeedCurve::new(Slots(support::SLOTS));
-    dispatch::weigh(known, Weighing { load, curve: &curve, now_ms: NOW, is_other_zone })
+    dispatch::estimate_cost(known, CostInputs { load, curve: &curve, now_ms: NOW, is_other_zone })
 }
 
 #[rstest]
@@ -80,14 +80,14 @@
     #[case] better: Known,
     #[case] worse: Known,
 ) {
-    let cost = |known| weigh(known, load, false).cost;
+    let cost = |known| estimate_cost(known, load, false).cost;
     assert!(cost(&better) < cost(&worse), "{} {}", cost(&better), cost(&worse));
 }
 
 #[test]
 fn failures_make_it_worse_but_not_longer() {
     let (sound, failing) = (told(0, 0, 100, 0), failing(5));
-    let work = |known| weigh(known, ServiceLoad::default(), false).work;
+    let work = |known| estimate_cost(known, ServiceLoad::default(), false).work;
     assert!((work(&sound) - work(&failing)).abs() < 1e-9);
 }
 
@@ -113,8 +113,8 @@
 #[test]
 fn another_zone_is_dearer() {
     let known = told(0, 0, 100, 0);
-    let near = weigh(&known, ServiceLoad::default(), false);
-    let far = weigh(&known, ServiceLoad::default(), true);
+    let near = estimate_cost(&known, ServiceLoad::default(), false);
+    let far = estimate_cost(&known, ServiceLoad::default(), true);
     assert!(far.cost > near.cost);
     assert!((far.work - near.work).abs() < 1e-9);
 }
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -225,7 +225,8 @@
         connection.into_iter().for_each(|it| host.pool.borrow_mut().put(&asked.upstream, it));
         return None;
     }
-    let Candidate { upstream, work, cost } = upstreams.weigh(host.now_ms(), &asked.upstream)?;
+    let Candidate { upstream, work, cost } =
+        upstreams.estimate_cost(host.now_ms(), &asked.upstream)?;
     let cost = if is_well { cost } else { cost + UNHEALTHY_COST };
     Some(Chosen { upstream, connection, work, cost, asked: 0, answered: 0 })
 }
--- a/crates/gateway/src/event_log/event.rs
+++ b/crates/gateway/src/event_log/event.rs
@@ -214,7 +214,7 @@
             LogEvent::Routed { .. } | LogEvent::Chosen { .. } | LogEvent::Sent { .. } => {
                 Weight::Routine
             }
-            LogEvent::Declined { verdict: Verdict::AskAgain(_), .. } => Weight::Routine,
+            LogEvent::Declined { verdict: Verdict::ProbeAgain(_), .. } => Weight::Routine,
             LogEvent::Delivered { status, after_ms, objective_ms, .. }
                 if *status < 400 && after_ms <= objective_ms =>
             {
--- a/crates/gateway/src/serve/finding.rs
+++ b/crates/gateway/src/serve/finding.rs
@@ -12,7 +12,7 @@
 use crate::placing::{self, PlacementGuard, PlacementResult};
 use dispatch::attempts::{Cause, Refusal};
 use dispatch::scheduler::{Cell, Placement, RefusalCause, Submission, Ticket};
-use dispatch::{DeadlineCheck, Offer, Verdict};
+use dispatch::{DeadlineCheck, LatencyEstimate, Verdict};
 use domain::{Millis, UpstreamId, ZoneName};
 
 /// Time between the choice and the sending past which the world is looked at again.
@@ -231,8 +231,8 @@
             self.check_time(now_ms, counts)?;
             let Some(chosen) = chosen else { return Ok(None) };
             match self.weigh(now_ms, &chosen, counts) {
-                Verdict::Take => return Ok(Some(self.chosen(chosen, sought_ms))),
-                Verdict::AskAgain(pause_ms) => {
+                Verdict::Send => return Ok(Some(self.chosen(chosen, sought_ms))),
+                Verdict::ProbeAgain(pause_ms) => {
                     chosen.put_back(&self.host);
                     clock::sleep(duration(pause_ms)).await;
                 }
@@ -261,7 +261,7 @@
     /// Only a first sending is kept back: what was sent once has lost its time already.
     fn weigh(&self, now_ms: Millis, chosen: &Chosen, counts: &SendingCounts) -> Verdict {
         if counts.sent > 0 {
-            return Verdict::Take;
+            return Verdict::Send;
         }
         let check = DeadlineCheck {
             arrived_ms: self.request.arrived_ms,
@@ -269,8 +269,8 @@
             end_ms: self.end_ms,
         };
         let expected_ms = self.host.upstreams.borrow().expected_ms(&self.service, chosen.work);
-        let verdict = check.weigh(now_ms, Offer { expected_ms });
-        if verdict != Verdict::Take {
+        let verdict = check.check(now_ms, LatencyEstimate { expected_ms });
+        if verdict != Verdict::Send {
             self.host.log.write(&LogEvent::Declined {
                 id: &self.id,
                 upstream: &chosen.upstream,
