--- a/crates/dispatch/src/curve.rs
+++ b/crates/dispatch/src/curve.rs
@@ -90,7 +90,7 @@
     }
 
     /// Requests at once with which an upstream gets most done.
-    pub fn best(&self) -> u32 {
+    pub fn best_concurrency(&self) -> u32 {
         let mut best = (1, self.speeds[0]);
         for (running, speed) in (1..).zip(&self.speeds) {
             let done = f64::from(running) * speed;
@@ -102,12 +102,12 @@
     }
 
     /// Whether a request that began beside so many others tells the usual time.
-    pub fn is_usual(&self, spent: &Occupancy) -> bool {
+    pub fn is_baseline(&self, spent: &Occupancy) -> bool {
         spent.begun_with <= self.fixed() as u32
     }
 
     /// Time that it would have taken at the usual speed.
-    pub fn at_usual_speed_ms(&self, spent: &Occupancy) -> f64 {
+    pub fn baseline_ms(&self, spent: &Occupancy) -> f64 {
         self.times(spent).map(|(index, ms)| ms * self.speeds[index]).sum()
     }
 
@@ -117,7 +117,7 @@
         if all_ms <= 0.0 || usual_ms <= 0.0 {
             return;
         }
-        let error = (1.0 - self.at_usual_speed_ms(spent) / usual_ms).clamp(-1.0, 1.0);
+        let error = (1.0 - self.baseline_ms(spent) / usual_ms).clamp(-1.0, 1.0);
         let learned = self.fixed()..;
         let parts: Vec<(usize, f64)> =
             self.times(spent).filter(|(index, _)| learned.contains(index)).collect();
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -37,7 +37,7 @@
 pub use probing::{
     GOOD_ENOUGH_COST, IMMEDIATE_COST, PROBE_ROUNDS, PROBES_PER_ROUND, UNHEALTHY_COST,
 };
-pub use service::Run;
+pub use service::ServiceTimeSample;
 pub use service_load::ServiceLoad;
 pub use split::SplitTable;
 pub use subset::{FULL_SUBSET_MAX, FleetSize, LOCAL_ZONE_UPSTREAMS, OTHER_ZONE_UPSTREAMS, Subset};
--- a/crates/dispatch/src/scheduler.rs
+++ b/crates/dispatch/src/scheduler.rs
@@ -32,7 +32,7 @@
 pub use set::SchedulerSet;
 
 use crate::cost::Candidate;
-use crate::service::Run;
+use crate::service::ServiceTimeSample;
 use crate::upstream::AskFailure;
 use crate::upstream_set::UpstreamSet;
 use decision::{Decision, View};
@@ -163,7 +163,7 @@
         tells_load: bool,
         upstreams: &mut UpstreamSet,
     ) {
-        upstreams.note_stretch(&self.cell.service, outcome.took_ms, placed.work);
+        upstreams.record_overrun(&self.cell.service, outcome.took_ms, placed.work);
         let after = outcome.report.map(|report| report.slowness());
         let slowness = match (placed.slowness, after) {
             // Neighbours that came or went meanwhile would be taken for the upstream's own doing.
@@ -172,7 +172,10 @@
             _ if !tells_load => 1.0,
             _ => return,
         };
-        upstreams.note_run(&placed.upstream, &Run { spent: placed.spent, slowness });
+        upstreams.record_service_time(
+            &placed.upstream,
+            &ServiceTimeSample { spent: placed.spent, slowness },
+        );
     }
 
     /// Places, asks, refuses, as far as what is known now goes.
@@ -238,7 +241,7 @@
         ahead: usize,
         upstreams: &mut UpstreamSet,
     ) -> Option<Effect> {
-        let best = upstreams.curve(&candidate.upstream)?.best();
+        let best = upstreams.curve(&candidate.upstream)?.best_concurrency();
         let known = upstreams.get_mut(&candidate.upstream)?;
         known.note_sent(now_ms);
         match known.open() > best {
--- a/crates/dispatch/src/scheduler/decision.rs
+++ b/crates/dispatch/src/scheduler/decision.rs
@@ -165,7 +165,7 @@
         let View { now_ms, upstreams, .. } = view;
         let (known, curve) = (upstreams.get(id)?, upstreams.curve(id)?);
         let slots = known.entry.slots.0.max(1);
-        let most = curve.best().saturating_add(beyond).min(slots);
+        let most = curve.best_concurrency().saturating_add(beyond).min(slots);
         if known.open() >= most {
             return None;
         }
--- a/crates/dispatch/src/scheduler/forecast.rs
+++ b/crates/dispatch/src/scheduler/forecast.rs
@@ -56,7 +56,7 @@
         let load = upstreams.load(&cell.service);
         let done_per_ms = |id: &UpstreamId| {
             let (known, curve) = (upstreams.get(id)?, upstreams.curve(id)?);
-            let best = f64::from(curve.best());
+            let best = f64::from(curve.best_concurrency());
             let slowness = known.slowness(now_ms, load).max(LEAST_SLOWNESS);
             let done = best * curve.speed(best) / slowness / usual_ms?.as_f64().max(1.0);
             let bears =
--- a/crates/dispatch/src/service.rs
+++ b/crates/dispatch/src/service.rs
@@ -19,7 +19,7 @@
 /// Least and most by which one answer of a busy or slow upstream may have taken longer than
 /// expected, for what is learned of it. Without learning it 0.008 less was earned where a third
 /// of the upstreams is slowed seven times.
-const STRETCH: (f64, f64) = (0.5, 4.0);
+const OVERRUN_RANGE: (f64, f64) = (0.5, 4.0);
 
 /// Answers that have to be seen before anything is learned by comparing others with them: the
 /// mean of twenty is known to a fifteenth.
@@ -27,7 +27,7 @@
 
 /// How a request ran on an upstream whose neighbours did not change meanwhile.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Run {
+pub struct ServiceTimeSample {
     /// How long, beside how many others.
     pub spent: Occupancy,
     /// How long work took there, in times of the usual.
@@ -46,7 +46,7 @@
     curves: Vec<SpeedCurve>,
     usual: Usual,
     /// How much longer than expected busy or slow upstreams take.
-    stretch: f64,
+    overrun: f64,
 }
 
 impl Default for Service {
@@ -58,7 +58,7 @@
             cold_rate: None,
             curves: Vec::new(),
             usual: Usual::default(),
-            stretch: 1.0,
+            overrun: 1.0,
         }
     }
 }
@@ -77,42 +77,43 @@
     }
 
     pub(crate) fn note_report(&mut self, report: &LoadReport, open: u32) {
-        self.load.note(report, open);
+        self.load.record(report, open);
     }
 
     /// An answer took so long where so much work was expected, and nothing else is known.
-    pub(crate) fn note_duration(&mut self, took_ms: Millis, work: f64) {
+    pub(crate) fn record_duration(&mut self, took_ms: Millis, work: f64) {
         match work > MOST_WORK_LEARNED {
-            true => self.note_stretch(took_ms, work),
+            true => self.record_overrun(took_ms, work),
             false => self.usual.note(took_ms.as_f64() / work.max(1.0), USUAL_WEIGHT),
         }
     }
 
     /// More or less slow upstreams take longer or shorter than expected.
-    pub(crate) fn note_stretch(&mut self, took_ms: Millis, work: f64) {
+    pub(crate) fn record_overrun(&mut self, took_ms: Millis, work: f64) {
         let Some(usual_ms) = self.usual.mean_ms.filter(|_| work > MOST_WORK_LEARNED) else {
             return;
         };
         let ratio = took_ms.as_f64() / (usual_ms * work).max(1.0);
-        self.stretch += (ratio.clamp(STRETCH.0, STRETCH.1) - self.stretch) * USUAL_WEIGHT;
+        self.overrun +=
+            (ratio.clamp(OVERRUN_RANGE.0, OVERRUN_RANGE.1) - self.overrun) * USUAL_WEIGHT;
     }
 
     /// A request ran on an upstream that was so slow all the while.
     ///
     /// The usual time is learned from requests that began beside few others, the slow-down from
     /// the rest: learned from the same answers each would make up for the other's faults.
-    pub(crate) fn note_run(&mut self, slots: Slots, run: &Run) {
+    pub(crate) fn record_service_time(&mut self, slots: Slots, sample: &ServiceTimeSample) {
         let Some(curve) = self.curves.iter_mut().find(|curve| curve.slots() == slots) else {
             return;
         };
-        let slowness = run.slowness.max(LEAST_SLOWNESS);
-        match (self.usual.mean_ms, curve.is_usual(&run.spent)) {
+        let slowness = sample.slowness.max(LEAST_SLOWNESS);
+        match (self.usual.mean_ms, curve.is_baseline(&sample.spent)) {
             (_, true) => {
-                let told_ms = curve.at_usual_speed_ms(&run.spent) / slowness;
+                let told_ms = curve.baseline_ms(&sample.spent) / slowness;
                 self.usual.note(told_ms, RUN_WEIGHT);
             }
             (Some(usual_ms), false) if self.usual.answers >= ENOUGH_ANSWERS => {
-                curve.learn(&run.spent, usual_ms * slowness);
+                curve.learn(&sample.spent, usual_ms * slowness);
             }
             (_, false) => {}
         }
@@ -120,8 +121,8 @@
 
     /// How long so much work is expected to take; none before anything was learned.
     pub(crate) fn expected_ms(&self, work: f64) -> Option<Millis> {
-        let stretch = if work > MOST_WORK_LEARNED { self.stretch } else { 1.0 };
-        self.usual.mean_ms.map(|usual_ms| Millis((usual_ms * work * stretch) as u64))
+        let overrun = if work > MOST_WORK_LEARNED { self.overrun } else { 1.0 };
+        self.usual.mean_ms.map(|usual_ms| Millis((usual_ms * work * overrun) as u64))
     }
 }
 
--- a/crates/dispatch/src/service_load.rs
+++ b/crates/dispatch/src/service_load.rs
@@ -21,21 +21,22 @@
     /// How long work takes, in times of the usual.
     pub slowness: f64,
     /// Requests of others running and waiting, in times of the slots.
-    pub others: f64,
+    pub others_per_slot: f64,
 }
 
 impl Default for ServiceLoad {
     fn default() -> ServiceLoad {
-        ServiceLoad { slowness: FIRST_SLOWNESS, others: 0.0 }
+        ServiceLoad { slowness: FIRST_SLOWNESS, others_per_slot: 0.0 }
     }
 }
 
 impl ServiceLoad {
     /// An upstream told its load; so many of its requests are known besides.
-    pub fn note(&mut self, report: &LoadReport, open: u32) {
+    pub fn record(&mut self, report: &LoadReport, open: u32) {
         let slots = f64::from(report.slots.0.max(1));
         self.slowness += (report.slowness() - self.slowness) * REPORT_WEIGHT;
-        self.others += (told_others(report, open) / slots - self.others) * REPORT_WEIGHT;
+        self.others_per_slot +=
+            (told_others(report, open) / slots - self.others_per_slot) * REPORT_WEIGHT;
     }
 }
 
--- a/crates/dispatch/src/split.rs
+++ b/crates/dispatch/src/split.rs
@@ -22,7 +22,7 @@
 
 impl SplitTable {
     /// The service of a route's next request; none if the split is empty.
-    pub fn next(
+    pub fn next_service(
         &mut self,
         route: &str,
         split: &[Destination],
--- a/crates/dispatch/src/upstream.rs
+++ b/crates/dispatch/src/upstream.rs
@@ -186,7 +186,7 @@
     /// Requests running and waiting there: those that are known, and others as far as it told.
     pub fn occupied(&self, now_ms: Millis, service: ServiceLoad) -> f64 {
         let open = f64::from(self.open);
-        let usual = service.others * f64::from(self.entry.slots.0);
+        let usual = service.others_per_slot * f64::from(self.entry.slots.0);
         let Some((_, age_ms)) = self.report(now_ms) else { return usual + open };
         usual + (self.others - usual) * known_part(age_ms) + open
     }
--- a/crates/dispatch/src/upstream_set.rs
+++ b/crates/dispatch/src/upstream_set.rs
@@ -12,7 +12,7 @@
 use crate::cold::Warmth;
 use crate::cost::{Candidate, CostInputs, estimate_cost};
 use crate::curve::SpeedCurve;
-use crate::service::{Run, Service};
+use crate::service::{Service, ServiceTimeSample};
 use crate::service_load::ServiceLoad;
 use crate::subset::{FleetSize, Subset};
 use crate::upstream::Known;
@@ -250,24 +250,24 @@
     }
 
     /// An answer took so long where so much work was expected.
-    pub fn note_duration(&mut self, service: &ServiceName, took_ms: Millis, work: f64) {
+    pub fn record_duration(&mut self, service: &ServiceName, took_ms: Millis, work: f64) {
         if let Some(service) = self.services.get_mut(service) {
-            service.note_duration(took_ms, work);
+            service.record_duration(took_ms, work);
         }
     }
 
     /// A request ran so on an upstream.
-    pub fn note_run(&mut self, id: &UpstreamId, run: &Run) {
+    pub fn record_service_time(&mut self, id: &UpstreamId, sample: &ServiceTimeSample) {
         let Some(known) = self.known.get(id) else { return };
         if let Some(service) = self.services.get_mut(&known.entry.service) {
-            service.note_run(known.entry.slots, run);
+            service.record_service_time(known.entry.slots, sample);
         }
     }
 
     /// An answer of a busy or slow upstream took so long where so much work was expected.
-    pub fn note_stretch(&mut self, service: &ServiceName, took_ms: Millis, work: f64) {
+    pub fn record_overrun(&mut self, service: &ServiceName, took_ms: Millis, work: f64) {
         if let Some(service) = self.services.get_mut(service) {
-            service.note_stretch(took_ms, work);
+            service.record_overrun(took_ms, work);
         }
     }
 
--- a/crates/dispatch/tests/choice.rs
+++ b/crates/dispatch/tests/choice.rs
@@ -57,7 +57,7 @@
 fn service(running: u32, waiting: u32, slowness_percent: u32) -> ServiceLoad {
     let mut load = ServiceLoad::default();
     for _ in 0..200 {
-        load.note(&report(running, waiting, slowness_percent), 0);
+        load.record(&report(running, waiting, slowness_percent), 0);
     }
     load
 }
@@ -197,9 +197,9 @@
     let mut set = set(&[entry("i-1", "kariakoo")]);
     let service = "parts".parse().unwrap();
     assert_eq!(set.expected_ms(&service, 1.0), None);
-    set.note_duration(&service, Millis(9_000), 5.0);
+    set.record_duration(&service, Millis(9_000), 5.0);
     assert_eq!(set.expected_ms(&service, 1.0), None);
-    set.note_duration(&service, Millis(100), 1.0);
+    set.record_duration(&service, Millis(100), 1.0);
     assert_eq!(set.expected_ms(&service, 2.0), Some(Millis(200)));
 }
 
@@ -207,9 +207,9 @@
 fn busy_upstreams_that_take_longer_than_expected_are_expected_to() {
     let mut set = set(&[entry("i-1", "kariakoo")]);
     let service = "parts".parse().unwrap();
-    set.note_duration(&service, Millis(100), 1.0);
+    set.record_duration(&service, Millis(100), 1.0);
     for _ in 0..200 {
-        set.note_duration(&service, Millis(600), 3.0);
+        set.record_duration(&service, Millis(600), 3.0);
     }
     let busy_ms = set.expected_ms(&service, 3.0).unwrap();
     assert!(busy_ms > Millis(580) && busy_ms <= Millis(600), "{busy_ms}");
--- a/crates/dispatch/tests/split.rs
+++ b/crates/dispatch/tests/split.rs
@@ -24,7 +24,7 @@
         let mut rng = Pcg64Mcg::seed_from_u64(host);
         let mut table = SplitTable::default();
         for _ in 0..requests {
-            let service = table.next("r", &split, &mut rng).unwrap();
+            let service = table.next_service("r", &split, &mut rng).unwrap();
             let at = split.iter().position(|part| part.service == service).unwrap();
             counts[at] += 1;
         }
@@ -54,15 +54,16 @@
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut table = SplitTable::default();
     for _ in 0..10 {
-        table.next("r", &split(&[100, 0]), &mut rng);
+        table.next_service("r", &split(&[100, 0]), &mut rng);
     }
-    let after = (0..10)
-        .filter(|_| table.next("r", &split(&[0, 100]), &mut rng) == Some("s1".parse().unwrap()));
+    let after = (0..10).filter(|_| {
+        table.next_service("r", &split(&[0, 100]), &mut rng) == Some("s1".parse().unwrap())
+    });
     assert_eq!(after.count(), 10);
 }
 
 #[test]
 fn an_empty_split_goes_nowhere() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    assert_eq!(SplitTable::default().next("r", &[], &mut rng), None);
+    assert_eq!(SplitTable::default().next_service("r", &[], &mut rng), None);
 }
--- a/crates/gateway/src/serve/in_progress.rs
+++ b/crates/gateway/src/serve/in_progress.rs
@@ -81,7 +81,7 @@
             self.note_end(outcome);
             if outcome.failure.is_none() {
                 let mut upstreams = self.host.upstreams.borrow_mut();
-                upstreams.note_duration(service, outcome.took_ms, work);
+                upstreams.record_duration(service, outcome.took_ms, work);
             }
         }
         if let Some(held) = self.held.take() {
--- a/crates/gateway/src/serve/routing.rs
+++ b/crates/gateway/src/serve/routing.rs
@@ -38,6 +38,6 @@
 /// The service of a route's next request.
 pub(super) fn next_service(host: &Host, route: &Route) -> Result<ServiceName, Refusal> {
     let mut splits = host.splits.borrow_mut();
-    let service = splits.next(&route.name, &route.split, &mut host.rng.borrow_mut());
+    let service = splits.next_service(&route.name, &route.split, &mut host.rng.borrow_mut());
     service.ok_or(Refusal::not_run(Cause::NoRoute))
 }
