--- a/crates/dispatch/src/attempts.rs
+++ b/crates/dispatch/src/attempts.rs
@@ -20,9 +20,9 @@
 /// How a sending ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum End {
+pub enum AttemptResult {
     /// A whole answer came.
-    Answered(Answered),
+    Answered(ResponseSummary),
     /// No byte of the request left.
     NotSent,
     /// The request left, at least in part, and no whole answer came.
@@ -31,7 +31,7 @@
 
 /// What a whole answer says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-pub struct Answered {
+pub struct ResponseSummary {
     /// HTTP status.
     pub status: u16,
     /// The upstream declared that it did not run the request.
@@ -48,9 +48,9 @@
     /// Upstreams that it may have run on, this sending included.
     pub may_have_run: u32,
     /// Sendings so far.
-    pub sent: u32,
+    pub attempts_made: u32,
     /// Most upstreams that it may run on.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Time until the caller needs its final answer.
     pub left_ms: Millis,
     /// Whether another sending counts as a repeat, and none is left.
@@ -60,11 +60,12 @@
 /// What to do next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Next {
+pub enum NextStep {
     /// Pass the answer on as it is.
     Deliver,
     /// Send it again, elsewhere.
-    SendAgain,
+    #[serde(rename = "send-again")]
+    Retry,
     /// Give it up.
     Refuse(Refusal),
 }
@@ -169,84 +170,86 @@
     }
 
     /// A refusal since upstreams take a rate only, until they take the next request.
-    pub fn limited(free_in_ms: Millis) -> Refusal {
+    pub fn rate_limited(free_in_ms: Millis) -> Refusal {
         let retry_after_ms = Some(free_in_ms.max(RETRY_AFTER_MS));
         Refusal { cause: Cause::UpstreamsLimited, is_not_run: true, retry_after_ms }
     }
 
     /// A refusal of a request that is held back, until it may be tried again.
-    pub fn held_back(for_ms: Millis) -> Refusal {
+    pub fn quarantined(for_ms: Millis) -> Refusal {
         Refusal { cause: Cause::CrashesUpstreams, is_not_run: true, retry_after_ms: Some(for_ms) }
     }
 
     /// The final answer to a request that may have run.
-    pub fn unknown(cause: Cause) -> Refusal {
+    pub fn may_have_run(cause: Cause) -> Refusal {
         Refusal { cause, is_not_run: false, retry_after_ms: None }
     }
 }
 
 /// Whether the request surely did not run where it was sent.
-pub fn is_not_run(end: End) -> bool {
+pub fn is_not_run(end: AttemptResult) -> bool {
     match end {
-        End::Answered(answered) => answered.not_run,
-        End::NotSent => true,
-        End::Broken => false,
+        AttemptResult::Answered(response) => response.not_run,
+        AttemptResult::NotSent => true,
+        AttemptResult::Broken => false,
     }
 }
 
 /// Whether the upstream ran the request to its end, and did not fail it.
-pub fn was_served(answered: Answered) -> bool {
-    answered.is_sealed && !answered.not_run && answered.status < 500
+pub fn was_served(response: ResponseSummary) -> bool {
+    response.is_sealed && !response.not_run && response.status < 500
 }
 
 /// What follows.
-pub fn next(state: AttemptState, end: End) -> Next {
+pub fn next_step(state: AttemptState, end: AttemptResult) -> NextStep {
     match end {
-        End::Answered(answered) if is_final(answered) => Next::Deliver,
-        End::Answered(answered) if answered.not_run => after_not_run(state),
-        End::NotSent => after_not_run(state),
-        End::Answered(answered) if is_own_failure(answered) => match again(state) {
-            true => Next::SendAgain,
-            false => Next::Deliver,
+        AttemptResult::Answered(response) if is_final(response) => NextStep::Deliver,
+        AttemptResult::Answered(response) if response.not_run => after_not_run(state),
+        AttemptResult::NotSent => after_not_run(state),
+        AttemptResult::Answered(response) if is_upstream_failure(response) => match again(state) {
+            true => NextStep::Retry,
+            false => NextStep::Deliver,
         },
-        End::Answered(_) | End::Broken => match again(state) {
-            true => Next::SendAgain,
-            false => Next::Refuse(Refusal::unknown(Cause::UpstreamFailed)),
+        AttemptResult::Answered(_) | AttemptResult::Broken => match again(state) {
+            true => NextStep::Retry,
+            false => NextStep::Refuse(Refusal::may_have_run(Cause::UpstreamFailed)),
         },
     }
 }
 
 /// A success with its seal, or an answer that is about the request itself: it is passed on as it is.
-pub fn is_final(answered: Answered) -> bool {
-    match answered.status {
-        200..=299 => answered.is_sealed,
+pub fn is_final(response: ResponseSummary) -> bool {
+    match response.status {
+        200..=299 => response.is_sealed,
         408 | 421 | 429 => false,
         400 => true,
-        300..=499 => !answered.not_run,
+        300..=499 => !response.not_run,
         _ => false,
     }
 }
 
 /// A failure that an upstream made after it ran the request; the others promise "not run".
-pub fn is_own_failure(answered: Answered) -> bool {
-    !answered.not_run && answered.is_sealed && answered.status >= 500 && answered.status != 503
+pub fn is_upstream_failure(response: ResponseSummary) -> bool {
+    !response.not_run && response.is_sealed && response.status >= 500 && response.status != 503
 }
 
-fn after_not_run(state: AttemptState) -> Next {
-    let may_send = state.sent < state.attempts + MORE_AFTER_SHED
-        && state.may_have_run < state.attempts.max(1)
+fn after_not_run(state: AttemptState) -> NextStep {
+    let may_send = state.attempts_made < state.max_attempts + MORE_AFTER_SHED
+        && state.may_have_run < state.max_attempts.max(1)
         && state.left_ms > MIN_LEFT_MS
         && !state.is_budget_spent;
     match may_send {
-        true => Next::SendAgain,
-        false if state.may_have_run > 0 => Next::Refuse(Refusal::unknown(Cause::UpstreamFailed)),
-        false => Next::Refuse(Refusal::not_run(Cause::UpstreamsRefused)),
+        true => NextStep::Retry,
+        false if state.may_have_run > 0 => {
+            NextStep::Refuse(Refusal::may_have_run(Cause::UpstreamFailed))
+        }
+        false => NextStep::Refuse(Refusal::not_run(Cause::UpstreamsRefused)),
     }
 }
 
 fn again(state: AttemptState) -> bool {
     state.repeat == Repeat::Idempotent
-        && state.may_have_run < state.attempts
+        && state.may_have_run < state.max_attempts
         && state.left_ms > MIN_LEFT_MS
         && !state.is_budget_spent
 }
--- a/crates/dispatch/tests/attempts.rs
+++ b/crates/dispatch/tests/attempts.rs
@@ -1,50 +1,52 @@
 //! What follows an ended sending: "not run" is told with proof only, and nothing that must
 //! run once is sent twice.
 
-use dispatch::attempts::{Answered, AttemptState, Cause, End, Next, Refusal, is_not_run, next};
+use dispatch::attempts::{
+    AttemptResult, AttemptState, Cause, NextStep, Refusal, ResponseSummary, is_not_run, next_step,
+};
 use domain::Millis;
 use published::Repeat;
 use rstest::rstest;
 
-fn answered(status: u16) -> End {
-    End::Answered(Answered { status, not_run: false, is_sealed: true })
+fn answered(status: u16) -> AttemptResult {
+    AttemptResult::Answered(ResponseSummary { status, not_run: false, is_sealed: true })
 }
 
-fn unsealed(status: u16) -> End {
-    End::Answered(Answered { status, not_run: false, is_sealed: false })
+fn unsealed(status: u16) -> AttemptResult {
+    AttemptResult::Answered(ResponseSummary { status, not_run: false, is_sealed: false })
 }
 
-fn shed(status: u16) -> End {
-    End::Answered(Answered { status, not_run: true, is_sealed: false })
+fn shed(status: u16) -> AttemptResult {
+    AttemptResult::Answered(ResponseSummary { status, not_run: true, is_sealed: false })
 }
 
 fn state(repeat: Repeat) -> AttemptState {
     AttemptState {
         repeat,
         may_have_run: 1,
-        sent: 1,
-        attempts: 2,
+        attempts_made: 1,
+        max_attempts: 2,
         left_ms: Millis(500),
         is_budget_spent: false,
     }
 }
 
 /// Short names of what may follow.
-fn name(next: Next) -> &'static str {
+fn name(next: NextStep) -> &'static str {
     match next {
-        Next::Deliver => "deliver",
-        Next::SendAgain => "again",
-        Next::Refuse(Refusal { is_not_run: true, .. }) => "not-run",
-        Next::Refuse(Refusal { is_not_run: false, .. }) => "unknown",
+        NextStep::Deliver => "deliver",
+        NextStep::Retry => "again",
+        NextStep::Refuse(Refusal { is_not_run: true, .. }) => "not-run",
+        NextStep::Refuse(Refusal { is_not_run: false, .. }) => "unknown",
     }
 }
 
-fn check(repeat: Repeat, end: End, wanted: &str) {
+fn check(repeat: Repeat, end: AttemptResult, wanted: &str) {
     let mut state = state(repeat);
     if is_not_run(end) {
         state.may_have_run = 0;
     }
-    assert_eq!(name(next(state, end)), wanted, "{repeat:?} {end:?}");
+    assert_eq!(name(next_step(state, end)), wanted, "{repeat:?} {end:?}");
 }
 
 #[rstest]
@@ -62,9 +64,9 @@
 #[case::limited(shed(429), "again", "again")]
 #[case::other_upstream(shed(421), "again", "again")]
 #[case::faulty_request(shed(400), "deliver", "deliver")]
-#[case::not_sent(End::NotSent, "again", "again")]
-#[case::broken(End::Broken, "again", "unknown")]
-fn follows(#[case] end: End, #[case] idempotent: &str, #[case] at_most_once: &str) {
+#[case::not_sent(AttemptResult::NotSent, "again", "again")]
+#[case::broken(AttemptResult::Broken, "again", "unknown")]
+fn follows(#[case] end: AttemptResult, #[case] idempotent: &str, #[case] at_most_once: &str) {
     check(Repeat::Idempotent, end, idempotent);
     check(Repeat::AtMostOnce, end, at_most_once);
 }
@@ -74,16 +76,16 @@
 #[case::no_attempt_left(AttemptState { may_have_run: 2, ..state(Repeat::Idempotent) })]
 #[case::no_time_left(AttemptState { left_ms: Millis(5), ..state(Repeat::Idempotent) })]
 fn nothing_is_sent_again_without_leave(#[case] state: AttemptState) {
-    assert_eq!(name(next(state, End::Broken)), "unknown");
-    assert_eq!(name(next(state, answered(500))), "deliver");
-    assert_eq!(name(next(state, shed(503))), "unknown");
+    assert_eq!(name(next_step(state, AttemptResult::Broken)), "unknown");
+    assert_eq!(name(next_step(state, answered(500))), "deliver");
+    assert_eq!(name(next_step(state, shed(503))), "unknown");
 }
 
 #[test]
 fn what_was_shed_everywhere_is_told_as_not_run_with_a_time_to_come_back() {
     for repeat in [Repeat::Idempotent, Repeat::AtMostOnce] {
-        let state = AttemptState { may_have_run: 0, sent: 4, ..state(repeat) };
-        let Next::Refuse(refusal) = next(state, shed(503)) else { panic!("not refused") };
+        let state = AttemptState { may_have_run: 0, attempts_made: 4, ..state(repeat) };
+        let NextStep::Refuse(refusal) = next_step(state, shed(503)) else { panic!("not refused") };
         assert_eq!(refusal.cause, Cause::UpstreamsRefused);
         assert!(refusal.is_not_run);
         assert!(refusal.retry_after_ms.is_some());
@@ -93,8 +95,8 @@
 
 #[test]
 fn what_may_have_run_once_is_never_told_as_not_run() {
-    let state = AttemptState { sent: 4, ..state(Repeat::Idempotent) };
-    let Next::Refuse(refusal) = next(state, shed(503)) else { panic!("not refused") };
+    let state = AttemptState { attempts_made: 4, ..state(Repeat::Idempotent) };
+    let NextStep::Refuse(refusal) = next_step(state, shed(503)) else { panic!("not refused") };
     assert!(!refusal.is_not_run);
     assert_eq!(refusal.cause.status(), 502);
 }
--- a/crates/gateway/src/backpressure.rs
+++ b/crates/gateway/src/backpressure.rs
@@ -8,7 +8,7 @@
 use crate::host::Host;
 use crate::http1::{AnswerHead, HeadFields};
 use crate::peers::codec::Datagram;
-use dispatch::attempts::{self, Answered};
+use dispatch::attempts::{self, ResponseSummary};
 use dispatch::backpressure::{
     AnswerKind, Backpressure, BackpressureChange, BackpressureMessage, LONGEST_BACKOFF_MS,
     ToldBackpressure,
@@ -42,7 +42,7 @@
     host: &Host,
     upstream: &UpstreamId,
     head: &AnswerHead,
-    answered: Answered,
+    answered: ResponseSummary,
 ) -> Backpressure {
     let is_its_own = answered.is_sealed || answered.not_run || attempts::is_final(answered);
     if !is_its_own || answered.status == MISDIRECTED {
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -222,7 +222,7 @@
             reply = answered => match reply {
                 Ok(reply) => Next::Answered(reply),
                 // A task that failed is a fault of ours; whether the request ran is unknown.
-                Err(_) => Next::Answered(Reply::Refused(Refusal::unknown(Cause::UpstreamFailed))),
+                Err(_) => Next::Answered(Reply::Refused(Refusal::may_have_run(Cause::UpstreamFailed))),
             },
             ready = self.caller.stream.readable(), if is_reading => {
                 if ready.is_err() {
--- a/crates/gateway/src/serve/admission.rs
+++ b/crates/gateway/src/serve/admission.rs
@@ -4,7 +4,7 @@
 use super::sending::SendingCounts;
 use super::{Request, Serving};
 use crate::quarantine;
-use dispatch::attempts::{self, Cause, End, Refusal};
+use dispatch::attempts::{self, AttemptResult, Cause, Refusal};
 use dispatch::quarantine::Admission;
 use domain::{Millis, RequestFingerprint};
 
@@ -48,7 +48,7 @@
 
     /// An upstream that ran it to its end clears it; a crash was noted as it was seen. One that
     /// fails requests may have failed it before it ran.
-    pub(super) fn note_for_quarantine(&self, end: End, is_trial: bool) {
+    pub(super) fn note_for_quarantine(&self, end: AttemptResult, is_trial: bool) {
         if self.host.quarantine.borrow().is_empty() {
             return;
         }
@@ -56,10 +56,10 @@
             quarantine::end_trial(&self.host, self.fingerprint());
         }
         match end {
-            End::Answered(answered) if attempts::was_served(answered) => {
+            AttemptResult::Answered(answered) if attempts::was_served(answered) => {
                 quarantine::note_answered(&self.host, self.fingerprint());
             }
-            End::Answered(_) | End::NotSent | End::Broken => {}
+            AttemptResult::Answered(_) | AttemptResult::NotSent | AttemptResult::Broken => {}
         }
     }
 
@@ -73,7 +73,7 @@
 
 fn held_back(for_ms: Millis, counts: &SendingCounts) -> Refusal {
     match counts.may_have_run() > 0 {
-        true => Refusal::unknown(Cause::UpstreamFailed),
-        false => Refusal::held_back(for_ms),
+        true => Refusal::may_have_run(Cause::UpstreamFailed),
+        false => Refusal::quarantined(for_ms),
     }
 }
--- a/crates/gateway/src/serve/finding.rs
+++ b/crates/gateway/src/serve/finding.rs
@@ -102,8 +102,8 @@
         let upstreams = self.host.upstreams.borrow();
         let free_in_ms = upstreams.free_in(self.host.now_ms(), &self.service);
         match (counts.may_have_run() > 0, free_in_ms) {
-            (true, _) => Refusal::unknown(Cause::UpstreamFailed),
-            (false, Some(free_in_ms)) => Refusal::limited(free_in_ms),
+            (true, _) => Refusal::may_have_run(Cause::UpstreamFailed),
+            (false, Some(free_in_ms)) => Refusal::rate_limited(free_in_ms),
             (false, None) if upstreams.is_evacuated(&self.service) => {
                 Refusal::not_run(Cause::ZonesEvacuated)
             }
@@ -214,7 +214,7 @@
     fn no_room(&self, retry_after_ms: Millis, ahead: usize, counts: &SendingCounts) -> Refusal {
         self.host.log.write(&LogEvent::Unplaced { id: &self.id, ahead, retry_after_ms });
         match counts.may_have_run() > 0 {
-            true => Refusal::unknown(Cause::UpstreamFailed),
+            true => Refusal::may_have_run(Cause::UpstreamFailed),
             false => Refusal::overloaded(retry_after_ms),
         }
     }
@@ -302,7 +302,7 @@
 
 fn out_of_time(counts: &SendingCounts) -> Refusal {
     match counts.may_have_run() > 0 {
-        true => Refusal::unknown(Cause::TimedOut),
+        true => Refusal::may_have_run(Cause::TimedOut),
         false => Refusal::not_run(Cause::Expired),
     }
 }
--- a/crates/gateway/src/serve/sending.rs
+++ b/crates/gateway/src/serve/sending.rs
@@ -10,7 +10,7 @@
 use crate::event_log::{AnswerTo, LogEvent};
 use crate::http1::write_request;
 use crate::quarantine::{self, BrokenOff};
-use dispatch::attempts::{Answered, Cause, End, Refusal};
+use dispatch::attempts::{AttemptResult, Cause, Refusal, ResponseSummary};
 use dispatch::backpressure::Backpressure;
 use dispatch::scheduler::Outcome;
 use domain::{Millis, UpstreamId};
@@ -87,7 +87,7 @@
                     }
                 }
                 () = self.host.clock.sleep_until(self.end_ms) => {
-                    return Err(Refusal::unknown(Cause::TimedOut));
+                    return Err(Refusal::may_have_run(Cause::TimedOut));
                 }
             }
         }
@@ -175,10 +175,10 @@
         };
         let Found { upstream, work, .. } = found;
         let (end, answer) = match result {
-            Ok(answer) => (End::Answered(self.answered(&answer)), Some(answer)),
-            Err(ExchangeError::NotSent) => (End::NotSent, None),
+            Ok(answer) => (AttemptResult::Answered(self.answered(&answer)), Some(answer)),
+            Err(ExchangeError::NotSent) => (AttemptResult::NotSent, None),
             Err(ExchangeError::Broken | ExchangeError::Silent | ExchangeError::Garbled) => {
-                (End::Broken, None)
+                (AttemptResult::Broken, None)
             }
         };
         let fields = answer.as_ref().map(|answer| &answer.head.fields);
@@ -187,7 +187,7 @@
         }
         let report = fields.and_then(|fields| ask::read_load(&self.host, fields));
         let backpressure = match (&answer, end) {
-            (Some(answer), End::Answered(answered)) => {
+            (Some(answer), AttemptResult::Answered(answered)) => {
                 backpressure::read(&self.host, &upstream, &answer.head, answered)
             }
             _ => Backpressure::default(),
@@ -201,7 +201,7 @@
         let entry = guard.entry();
         guard.end(&self.service, work, Outcome { failure, took_ms, report, backpressure });
         let has_crashed = match entry {
-            Some(upstream) if end == End::Broken => {
+            Some(upstream) if end == AttemptResult::Broken => {
                 let fingerprint = self.fingerprint();
                 let broken = BrokenOff { fingerprint, upstream, sent_ms, broke_ms };
                 // A look that failed is a fault of ours, and says nothing of the upstream.
@@ -212,13 +212,17 @@
         Ended { upstream, end, answer, sent_ms, has_crashed, is_trial }
     }
 
-    fn answered(&self, answer: &Answer) -> Answered {
+    fn answered(&self, answer: &Answer) -> ResponseSummary {
         let fields = &answer.head.fields;
         let dialect = &self.host.dialect;
         let status = answer.head.status;
         let not_run = status == 421 || fields.get(dialect.not_run).is_some();
         let is_plain = fields.get("content-encoding").is_none();
-        Answered { status, not_run, is_sealed: fields.get(dialect.seal).is_some() && is_plain }
+        ResponseSummary {
+            status,
+            not_run,
+            is_sealed: fields.get(dialect.seal).is_some() && is_plain,
+        }
     }
 }
 
--- a/crates/gateway/src/serve/settling.rs
+++ b/crates/gateway/src/serve/settling.rs
@@ -6,13 +6,13 @@
 use crate::event_log::LogEvent;
 use crate::host::duration;
 use dispatch::SendFailure;
-use dispatch::attempts::{self, AttemptState, Cause, End, Next, Refusal};
+use dispatch::attempts::{self, AttemptResult, AttemptState, Cause, NextStep, Refusal};
 use domain::{Millis, UpstreamId};
 
 /// How a sending ended.
 pub(super) struct Ended {
     pub(super) upstream: UpstreamId,
-    pub(super) end: End,
+    pub(super) end: AttemptResult,
     pub(super) answer: Option<Answer>,
     pub(super) sent_ms: Millis,
     /// The upstream crashed under it.
@@ -40,7 +40,7 @@
         if attempts::is_not_run(ended.end) {
             counts.not_run += 1;
         }
-        if ended.end == End::NotSent {
+        if ended.end == AttemptResult::NotSent {
             counts.arrived -= 1;
         }
         self.note_failure(&ended, now_ms);
@@ -48,19 +48,19 @@
         let state = AttemptState {
             repeat: self.route().repeat,
             may_have_run: counts.may_have_run(),
-            sent: counts.sent,
-            attempts: self.route().attempts,
+            attempts_made: counts.sent,
+            max_attempts: self.route().attempts,
             left_ms: self.end_ms.since(now_ms),
             is_budget_spent: needs_repeat
                 && self.host.repeats.borrow().left(self.host.now_ms(), &self.service) < 1.0,
         };
-        match (attempts::next(state, ended.end), ended.answer) {
-            (Next::Deliver, Some(answer)) => {
+        match (attempts::next_step(state, ended.end), ended.answer) {
+            (NextStep::Deliver, Some(answer)) => {
                 Some(Ok(self.deliver(&ended.upstream, answer, counts)))
             }
             // Only answers are delivered.
-            (Next::Deliver, None) => Some(Err(Refusal::unknown(Cause::UpstreamFailed))),
-            (Next::SendAgain, answer) => {
+            (NextStep::Deliver, None) => Some(Err(Refusal::may_have_run(Cause::UpstreamFailed))),
+            (NextStep::Retry, answer) => {
                 if needs_repeat {
                     self.host.repeats.borrow_mut().take(now_ms, &self.service);
                 }
@@ -69,7 +69,7 @@
                 }
                 None
             }
-            (Next::Refuse(refusal), _) => Some(Err(refusal)),
+            (NextStep::Refuse(refusal), _) => Some(Err(refusal)),
         }
     }
 
@@ -108,17 +108,17 @@
     }
 }
 
-fn is_own_failure(end: End) -> bool {
-    matches!(end, End::Answered(answered) if attempts::is_own_failure(answered))
+fn is_own_failure(end: AttemptResult) -> bool {
+    matches!(end, AttemptResult::Answered(answered) if attempts::is_upstream_failure(answered))
 }
 
-pub(super) fn failure_of(end: End) -> Option<SendFailure> {
+pub(super) fn failure_of(end: AttemptResult) -> Option<SendFailure> {
     match end {
-        End::Answered(answered) if answered.not_run => Some(SendFailure::Shed),
-        End::Answered(answered) if answered.status >= 500 || !answered.is_sealed => {
+        AttemptResult::Answered(answered) if answered.not_run => Some(SendFailure::Shed),
+        AttemptResult::Answered(answered) if answered.status >= 500 || !answered.is_sealed => {
             Some(SendFailure::ErrorAnswer)
         }
-        End::Answered(_) => None,
-        End::NotSent | End::Broken => Some(SendFailure::Broken),
+        AttemptResult::Answered(_) => None,
+        AttemptResult::NotSent | AttemptResult::Broken => Some(SendFailure::Broken),
     }
 }
