--- a/crates/dispatch/src/deadline.rs
+++ b/crates/dispatch/src/deadline.rs
@@ -22,7 +22,7 @@
 /// An offer that takes longer than this many objectives is none. Refusing only what misses
 /// its end cost 0.02 of what callers were owed where a third of the upstreams was slowed seven
 /// times, and 0.01 in bursts where a quarter was.
-pub(crate) const FAR_TOO_LATE: f64 = 1.2;
+pub(crate) const MAX_LATENESS: f64 = 1.2;
 
 /// An upstream's offer.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -66,7 +66,7 @@
         match is_in_time {
             true => Verdict::Send,
             false if may_wait => Verdict::ProbeAgain(PAUSE_MS),
-            false if done_ms >= self.end_ms.min(self.after(FAR_TOO_LATE)) => Verdict::Refuse,
+            false if done_ms >= self.end_ms.min(self.after(MAX_LATENESS)) => Verdict::Refuse,
             false => Verdict::Send,
         }
     }
--- a/crates/dispatch/src/scheduler.rs
+++ b/crates/dispatch/src/scheduler.rs
@@ -1,84 +1,82 @@
-//! One queue for the requests of many hosts.
+//! Places the requests of many hosts from one queue per cell.
 //!
-//! Each host by itself learns too late which upstreams are free: two send to the last free
-//! slot, and those that are turned away ask again and again. So the hosts hand the requests
-//! for a service to one of them, which sees every request that begins and ends, and what
-//! upstreams tell with each answer. It keeps them in one queue and places them as slots free
-//! up, no more on an upstream than it works on well, and refuses at once what the queue shows
-//! to be hopeless. The requests themselves go straight from their host to the upstream.
+//! A host that decides alone learns too late which upstreams are free: two hosts pick the same free
+//! slot, and the one that is turned away retries. So hosts submit the requests for a service to one
+//! host, which sees each request begin and end and the load that each response reports. It queues
+//! the requests, places them as slots free up, up to the concurrency at which an upstream works
+//! best, and refuses at once those that can't be answered in time. The requests themselves go
+//! directly from their host to the upstream.
 //!
-//! Any host can schedule: it needs nothing but its knowledge of upstreams, which answers and
-//! health checks bring within some milliseconds. Two hosts that schedule the same service see
-//! each other's requests as load of others. So nobody has to be elected, and a host whose
-//! scheduler is silent takes the next one, or asks upstreams by itself.
+//! Any host can schedule: all it needs is the state of the upstreams, which responses and probes
+//! bring within milliseconds. Two hosts that schedule the same service see each other's requests as
+//! foreign load. So there is no election; a host whose scheduler doesn't respond submits to the
+//! next host in order, or probes upstreams by itself.
 
 mod cell;
 mod decision;
 mod directory;
 mod forecast;
-mod freshness;
-mod job;
+mod fresh_report;
 mod message;
 mod placed;
-mod rate_placing;
+mod placement_rates;
+mod request;
 mod set;
 
 pub use cell::Cell;
 pub use directory::Directory;
-pub use job::{Submission, Ticket};
 pub use message::{
     Effect, Outcome, Placement, PlacementMessage, RefusalCause, Requester, Withdrawal,
 };
+pub use request::{Submission, Ticket};
 pub use set::SchedulerSet;
 
 use crate::cost::Candidate;
 use crate::service::ServiceTimeSample;
 use crate::upstream::AskFailure;
 use crate::upstream_set::UpstreamSet;
-use decision::{Decision, View};
+use decision::{Decision, DecisionInputs};
 use domain::{FastMap, Millis, UpstreamId};
 use forecast::Forecast;
-use job::{Job, Key};
 use placed::{Placed, PlacedSet};
+use placement_rates::PlacementRates;
 use published::RunStart;
 use rand_pcg::Pcg64Mcg;
-use rate_placing::RatePlacing;
+use request::{Key, QueuedRequest};
 
-/// A host is taken to have a connection to an upstream for so long after a request went there:
-/// most upstreams close idle ones after some ten seconds.
-const CONNECTED_MS: Millis = Millis(8_000);
+/// How long after a request a host is assumed to still have a connection to its upstream; most
+/// upstreams close idle connections after about ten seconds.
+const CONNECTION_ALIVE_MS: Millis = Millis(8_000);
 
-/// Part by which slowness may differ and still be the same.
-const SAME_SLOWNESS: f64 = 0.1;
+/// Relative change of slowness that is ignored.
+const SLOWNESS_TOLERANCE: f64 = 0.1;
 
-/// Time between two looks at what is to be forgotten.
-const FORGET_EACH_MS: Millis = Millis(50);
+const EXPIRY_INTERVAL_MS: Millis = Millis(50);
 
-/// More requests than this don't wait in one cell: a bound for memory, far above what a queue
-/// holds that refuses what is hopeless.
-const MOST_WAITING: usize = 2_000;
+/// Upper bound on the requests that wait in one cell, to bound memory.
+const MAX_WAITING: usize = 2_000;
 
-/// The scheduler of one cell.
+/// Scheduler of one cell.
 #[derive(Debug)]
 struct Scheduler {
     cell: Cell,
-    /// In the order in which they are placed.
-    waiting: Vec<Job>,
+    /// Sorted by [`QueuedRequest::queue_order`].
+    waiting: Vec<QueuedRequest>,
     placed: PlacedSet,
-    /// When an upstream was last asked.
-    asked_ms: FastMap<UpstreamId, Millis>,
-    /// When a host last sent to an upstream, and to which run of it.
-    sent: FastMap<Requester, FastMap<UpstreamId, Sent>>,
-    /// Requests that waited for their place since one went beyond what its upstream works on best.
+    /// When each upstream was last probed.
+    probed_ms: FastMap<UpstreamId, Millis>,
+    /// The last request that each host sent to each upstream.
+    last_sent: FastMap<Requester, FastMap<UpstreamId, LastSent>>,
+    /// Requests placed after a wait since the last one that exceeded its upstream's best
+    /// concurrency.
     waited_since_trial: u32,
-    forgot_ms: Millis,
-    /// Whether no other host comes before this one in order for the cell; none before it was looked at.
+    last_expiry_ms: Millis,
+    /// Whether this host is the cell's primary scheduler; `None` until it is determined.
     is_primary: Option<bool>,
 }
 
-/// A host's last sending to an upstream.
 #[derive(Debug, Clone, Copy)]
-struct Sent {
+struct LastSent {
     at_ms: Millis,
     run: RunStart,
 }
@@ -89,37 +87,37 @@
             cell,
             waiting: Vec::new(),
             placed: PlacedSet::default(),
-            asked_ms: FastMap::default(),
-            sent: FastMap::default(),
+            probed_ms: FastMap::default(),
+            last_sent: FastMap::default(),
             waited_since_trial: 0,
-            forgot_ms: Millis::ZERO,
+            last_expiry_ms: Millis::ZERO,
             is_primary: None,
         }
     }
 
-    fn knows(&self, key: Key) -> bool {
-        self.placed.contains(key) || self.waiting.iter().any(|job| job.key == key)
+    fn contains(&self, key: Key) -> bool {
+        self.placed.contains(key) || self.waiting.iter().any(|request| request.key == key)
     }
 
     fn is_idle(&self) -> bool {
-        self.waiting.is_empty() && self.placed.is_empty() && self.sent.is_empty()
+        self.waiting.is_empty() && self.placed.is_empty() && self.last_sent.is_empty()
     }
 
-    fn submit(&mut self, job: Job) -> Option<Effect> {
-        if self.waiting.len() >= MOST_WAITING {
+    fn submit(&mut self, request: QueuedRequest) -> Option<Effect> {
+        if self.waiting.len() >= MAX_WAITING {
             let cause = RefusalCause::NoRoom {
-                retry_after_ms: forecast::LONGEST_AWAY_MS,
+                retry_after_ms: forecast::MAX_RETRY_AFTER_MS,
                 ahead: self.waiting.len(),
             };
-            return Some(job.refused(cause));
+            return Some(request.refused(cause));
         }
-        let is_after = |other: &Job| other.order() <= job.order();
+        let is_after = |other: &QueuedRequest| other.queue_order() <= request.queue_order();
         let at = self.waiting.partition_point(is_after);
-        self.waiting.insert(at, job);
+        self.waiting.insert(at, request);
         None
     }
 
-    /// Forgets a request that waits or was placed; the upstream on which it was placed.
+    /// Removes a waiting or placed request; returns the upstream on which it was placed.
     fn withdraw(
         &mut self,
         now_ms: Millis,
@@ -127,8 +125,8 @@
         withdrawal: Withdrawal,
         upstreams: &mut UpstreamSet,
     ) -> Option<UpstreamId> {
-        self.waiting.retain(|job| job.key != key);
-        let placed = self.placed.take(now_ms, key)?;
+        self.waiting.retain(|request| request.key != key);
+        let placed = self.placed.remove(now_ms, key)?;
         if let Some(known) = upstreams.get_run_mut(&placed.upstream, placed.run) {
             known.note_withdrawn();
             if withdrawal == Withdrawal::Unreachable {
@@ -138,10 +136,10 @@
         Some(placed.upstream)
     }
 
-    /// A request that was placed came to its end.
+    /// Records the end of a placed request.
     fn end(&mut self, now_ms: Millis, key: Key, outcome: &Outcome, upstreams: &mut UpstreamSet) {
-        let Some(placed) = self.placed.take(now_ms, key) else { return };
-        // Before the end: the load that an answer tells counts the request that is answered.
+        let Some(placed) = self.placed.remove(now_ms, key) else { return };
+        // Before `record_ended`: the reported load still includes this request.
         if let Some(report) = outcome.report {
             upstreams.note_report(now_ms, (&placed.upstream, placed.run), report);
         }
@@ -149,94 +147,97 @@
         upstreams.hear_backpressure(now_ms, at, outcome.answer_kind(), outcome.backpressure);
         let Some(known) = upstreams.get_run_mut(&placed.upstream, placed.run) else { return };
         known.note_ended(now_ms, outcome.failure);
-        let tells_load = known.report(now_ms).is_some();
+        let reports_load = known.report(now_ms).is_some();
         if outcome.failure.is_none() {
-            self.learn(placed, outcome, tells_load, upstreams);
+            self.learn_service_time(placed, outcome, reports_load, upstreams);
         }
     }
 
-    /// Learns from an answer how long work takes.
-    fn learn(
+    /// Learns the service time from a response.
+    fn learn_service_time(
         &self,
         placed: Placed,
         outcome: &Outcome,
-        tells_load: bool,
+        reports_load: bool,
         upstreams: &mut UpstreamSet,
     ) {
         upstreams.record_overrun(&self.cell.service, outcome.took_ms, placed.work);
         let after = outcome.report.map(|report| report.slowness());
         let slowness = match (placed.slowness, after) {
-            // Neighbours that came or went meanwhile would be taken for the upstream's own doing.
-            (Some(before), Some(after)) if (before - after).abs() < SAME_SLOWNESS * before => after,
-            // Where upstreams tell no load, neighbours are part of the usual.
-            _ if !tells_load => 1.0,
+            // A change of slowness while it ran would be attributed to the upstream.
+            (Some(before), Some(after)) if (before - after).abs() < SLOWNESS_TOLERANCE * before => {
+                after
+            }
+            // Where upstreams report no load, slowness is part of the baseline.
+            _ if !reports_load => 1.0,
             _ => return,
         };
         upstreams.record_service_time(
             &placed.upstream,
-            &ServiceTimeSample { spent: placed.spent, slowness },
+            &ServiceTimeSample { spent: placed.occupancy, slowness },
         );
     }
 
-    /// Places, asks, refuses, as far as what is known now goes.
+    /// Places, probes for or refuses waiting requests by what is known now.
     fn schedule(
         &mut self,
         now_ms: Millis,
         upstreams: &mut UpstreamSet,
-        rates: &mut RatePlacing,
+        rates: &mut PlacementRates,
         rng: &mut Pcg64Mcg,
         effects: &mut Vec<Effect>,
     ) {
-        if now_ms.since(self.forgot_ms) >= FORGET_EACH_MS {
-            self.forget(now_ms, upstreams);
+        if now_ms.since(self.last_expiry_ms) >= EXPIRY_INTERVAL_MS {
+            self.expire(now_ms, upstreams);
         }
         if self.waiting.is_empty() {
             return;
         }
-        let lent = rates.lent(now_ms, &self.cell, self.is_primary == Some(true));
+        let lent = rates.lent_shares(now_ms, &self.cell, self.is_primary == Some(true));
         let forecast = Forecast::new(now_ms, &self.cell, upstreams, (&rates.budget, lent));
         let mut is_full = false;
         let mut ahead = 0;
-        for mut job in std::mem::take(&mut self.waiting) {
-            if job.is_over(now_ms) {
+        for mut request in std::mem::take(&mut self.waiting) {
+            if request.is_expired(now_ms) {
                 continue;
             }
             let budget = &rates.budget;
-            let view = View { now_ms, upstreams, forecast: &forecast, budget, lent, ahead };
-            let offers = match is_full && !job.is_repeat() {
+            let inputs =
+                DecisionInputs { now_ms, upstreams, forecast: &forecast, budget, lent, ahead };
+            let options = match is_full && !request.is_retry() {
                 true => Vec::new(),
-                false => self.offers(&job, view, rng),
+                false => self.options(&request, inputs, rng),
             };
-            is_full |= offers.is_empty() && !job.is_repeat();
-            match self.decide(&mut job, &offers, view) {
+            is_full |= options.is_empty() && !request.is_retry();
+            match self.decide(&mut request, &options, inputs) {
                 Decision::Place(candidate) => {
-                    rates.take(now_ms, &candidate.upstream, lent, upstreams);
-                    let placed = self.place(now_ms, &job, candidate, ahead, upstreams);
+                    rates.spend(now_ms, &candidate.upstream, lent, upstreams);
+                    let placed = self.place(now_ms, &request, candidate, ahead, upstreams);
                     effects.extend(placed);
                     continue;
                 }
                 Decision::Refuse(cause) => {
-                    effects.push(job.refused(cause));
+                    effects.push(request.refused(cause));
                     continue;
                 }
-                Decision::Ask(asked) => {
-                    for upstream in asked {
-                        self.asked_ms.insert(upstream.clone(), now_ms);
+                Decision::Probe(targets) => {
+                    for upstream in targets {
+                        self.probed_ms.insert(upstream.clone(), now_ms);
                         effects.push(Effect::Probe(upstream));
                     }
                 }
                 Decision::Wait => {}
             }
             ahead += 1;
-            effects.extend(job.tell_queued(now_ms));
-            self.waiting.push(job);
+            effects.extend(request.queued_notice(now_ms));
+            self.waiting.push(request);
         }
     }
 
     fn place(
         &mut self,
         now_ms: Millis,
-        job: &Job,
+        request: &QueuedRequest,
         candidate: Candidate,
         ahead: usize,
         upstreams: &mut UpstreamSet,
@@ -246,28 +247,28 @@
         known.note_sent(now_ms);
         match known.open() > best {
             true => self.waited_since_trial = 0,
-            false if job.has_waited(now_ms) => {
+            false if request.has_waited(now_ms) => {
                 self.waited_since_trial = self.waited_since_trial.saturating_add(1);
             }
             false => {}
         }
-        self.placed.add(now_ms, job, &candidate, known);
-        let sent = self.sent.entry(job.key.requester).or_default();
-        sent.insert(candidate.upstream.clone(), Sent { at_ms: now_ms, run: known.entry.run });
+        self.placed.add(now_ms, request, &candidate, known);
+        let sent = self.last_sent.entry(request.key.requester).or_default();
+        sent.insert(candidate.upstream.clone(), LastSent { at_ms: now_ms, run: known.entry.run });
         let report_age_ms = known.report(now_ms).map(|(_, age_ms)| age_ms);
         let Candidate { upstream, work, cost } = candidate;
         let (work, cost) = (work as f32, cost as f32);
-        Some(job.placed(Placement { upstream, work, cost, report_age_ms, ahead }))
+        Some(request.placed(Placement { upstream, work, cost, report_age_ms, ahead }))
     }
 
-    fn forget(&mut self, now_ms: Millis, upstreams: &mut UpstreamSet) {
-        self.forgot_ms = now_ms;
-        for key in self.placed.over(now_ms) {
+    fn expire(&mut self, now_ms: Millis, upstreams: &mut UpstreamSet) {
+        self.last_expiry_ms = now_ms;
+        for key in self.placed.expired(now_ms) {
             self.withdraw(now_ms, key, Withdrawal::Sent, upstreams);
         }
-        self.asked_ms.retain(|_, at_ms| now_ms.since(*at_ms) < decision::ASK_AGAIN_MS);
-        self.sent.retain(|_, sent| {
-            sent.retain(|_, sent| now_ms.since(sent.at_ms) < CONNECTED_MS);
+        self.probed_ms.retain(|_, at_ms| now_ms.since(*at_ms) < decision::PROBE_INTERVAL_MS);
+        self.last_sent.retain(|_, sent| {
+            sent.retain(|_, sent| now_ms.since(sent.at_ms) < CONNECTION_ALIVE_MS);
             !sent.is_empty()
         });
     }
--- a/crates/dispatch/src/scheduler/cell.rs
+++ b/crates/dispatch/src/scheduler/cell.rs
@@ -1,4 +1,4 @@
-//! What is scheduled by one host.
+//! The unit of scheduling.
 
 use crate::subset::FULL_SUBSET_MAX;
 use crate::upstream_set::UpstreamSet;
@@ -8,30 +8,29 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A service as a whole, or its upstreams in one availability zone.
+/// A service, or its upstreams in one availability zone.
 ///
-/// A service of up to twenty upstreams is one cell: the more upstreams share a queue, the
-/// less it matters which of them is slowed. Larger ones are divided, so that no host has to
-/// hear of more than some hundred requests a second.
+/// A small service is one cell: the more upstreams share a queue, the less a slow one matters. A
+/// larger one is split by zone, to bound the requests that one host schedules.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Cell {
-    /// The service.
+    /// Service.
     pub service: ServiceName,
-    /// Whose upstreams; none for all of the service.
+    /// Availability zone of its upstreams; `None` for the whole service.
     pub zone: Option<ZoneName>,
 }
 
 impl Cell {
-    /// The cell of a request of a host in an availability zone. Where no upstream takes work
-    /// there, it is that of another zone: each upstream has one scheduler.
+    /// Cell for a request of a host in this zone. If no upstream accepts requests there, it is the
+    /// cell of another zone, so that each upstream has one scheduler.
     pub fn for_request(
         service: &ServiceName,
         zone: &ZoneName,
         upstreams: &UpstreamSet,
         rng: &mut Pcg64Mcg,
     ) -> Cell {
-        let is_divided = upstreams.of_service(service).len() > FULL_SUBSET_MAX;
-        let zone = match is_divided {
+        let is_split_by_zone = upstreams.of_service(service).len() > FULL_SUBSET_MAX;
+        let zone = match is_split_by_zone {
             false => None,
             true if upstreams.takes_work_in(service, zone) => Some(zone.clone()),
             true => upstreams.draw_other_zone(service, zone, rng),
@@ -39,7 +38,7 @@
         Cell { service: service.clone(), zone }
     }
 
-    /// Whether an upstream is of the cell.
+    /// Whether an upstream belongs to the cell.
     pub fn contains(&self, entry: &Upstream) -> bool {
         let is_in_zone = self.zone.as_ref().is_none_or(|zone| *zone == entry.availability_zone);
         self.service == entry.service && is_in_zone
--- a/crates/dispatch/src/scheduler/decision.rs
+++ b/crates/dispatch/src/scheduler/decision.rs
@@ -1,16 +1,15 @@
-//! What becomes of a request that waits.
+//! Decides whether a waiting request is placed, probed for, kept waiting or refused.
 //!
-//! It answers bursts: with as many requests as upstreams can do, half of what was sent to any
-//! free slot was late. Here a request goes to the upstream that is expected to be in time by
-//! what was just told, waits as long as the queue can still be in time, and is refused as
-//! soon as it can't.
+//! A request goes to the upstream that fresh reports show to be in time; it waits as long as it can
+//! still be placed in time, and is refused as soon as it can't. Sending to any free slot instead
+//! would make much of a burst late.
 
 use super::Scheduler;
 use super::forecast::Forecast;
-use super::freshness::just_told;
-use super::job::Job;
+use super::fresh_report::fresh_report;
 use super::message::RefusalCause;
-use super::rate_placing::{hoped_share, rate_share};
+use super::placement_rates::{confirmed_share, optimistic_share};
+use super::request::QueuedRequest;
 use crate::cost::Candidate;
 use crate::fleet_rate::{Lent, RateBudget};
 use crate::probing::{IMMEDIATE_COST, PROBES_PER_ROUND};
@@ -19,179 +18,195 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-/// Time after which an upstream is asked again for requests that still wait.
-pub(super) const ASK_AGAIN_MS: Millis = Millis(25);
+/// How long after a probe an upstream is probed again for requests that still wait.
+pub(super) const PROBE_INTERVAL_MS: Millis = Millis(25);
 
-/// How long the answers are waited for: a round trip between availability zones, with a new
+/// How long probe replies are waited for: a round trip between availability zones on a new
 /// connection.
-const ASK_WAIT_MS: Millis = Millis(6);
+const PROBE_REPLY_WAIT_MS: Millis = Millis(6);
 
-/// Part of the cost by which the order of upstreams is shaken: of equals not always the same
-/// is taken.
-const SHAKE: f64 = 0.1;
+/// Relative random part of the rank, so that equal upstreams share the requests.
+const RANK_JITTER: f64 = 0.1;
 
-/// What a new connection adds to the cost by which offers are compared: it takes a round trip
-/// more, and upstreams bear a limited number. Without it 6% more were opened.
-const NEW_CONNECTION: f64 = 0.2;
+/// Added to the rank for a new connection: it costs a round trip, and upstreams accept a limited
+/// number of connections.
+const NEW_CONNECTION_COST: f64 = 0.2;
 
-/// After so many requests that waited one goes to an upstream past the number that it works on
-/// best, if none is free: otherwise a number that was learned too low would never be found out.
-const TRIAL_EVERY: u32 = 20;
+/// Number of requests that waited, after which one may exceed an upstream's best concurrency if
+/// none is free: otherwise an estimate that is too low would never be corrected.
+const TRIAL_INTERVAL: u32 = 20;
 
-/// What becomes of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum Decision {
     Place(Candidate),
-    Ask(Vec<UpstreamId>),
+    Probe(Vec<UpstreamId>),
     Wait,
     Refuse(RefusalCause),
 }
 
-/// What is decided by.
+/// Everything that a decision depends on besides the request.
 #[derive(Clone, Copy)]
-pub(super) struct View<'a> {
+pub(super) struct DecisionInputs<'a> {
     pub(super) now_ms: Millis,
     pub(super) upstreams: &'a UpstreamSet,
     pub(super) forecast: &'a Forecast,
-    /// What was spent of fleet-wide rates, and the part of them that is lent
-    /// for it.
+    /// What was spent of fleet-wide rate limits, and the shares of them lent to this scheduler.
     pub(super) budget: &'a RateBudget,
     pub(super) lent: Lent,
-    /// Requests that wait before the one in question.
+    /// Number of requests that wait before this one.
     pub(super) ahead: usize,
 }
 
-/// An upstream that may have room.
+/// An upstream on which the request might be placed.
 #[derive(Debug)]
-pub(super) struct Offer {
+pub(super) struct PlacementOption {
     candidate: Candidate,
-    /// By which offers are compared; the least is best.
+    /// Sort key; the lowest is best.
     rank: f64,
-    /// What is known of it was told just now.
+    /// Whether its last report is recent enough to rely on.
     is_fresh: bool,
-    /// It may get a request now; else it is worth asking only.
+    /// Whether its rate limit allows a request now; if not, it may only be probed.
     may_place: bool,
-    /// Others leave it room, as far as it is known.
+    /// Whether it has a free slot, other schedulers' requests included, as far as known.
     has_room: bool,
 }
 
 impl Scheduler {
-    pub(super) fn decide(&self, job: &mut Job, offers: &[Offer], view: View<'_>) -> Decision {
-        let View { now_ms, forecast, .. } = view;
-        if job.backs_off_from(&forecast.upstreams) {
+    pub(super) fn decide(
+        &self,
+        request: &mut QueuedRequest,
+        options: &[PlacementOption],
+        inputs: DecisionInputs<'_>,
+    ) -> Decision {
+        let DecisionInputs { now_ms, forecast, .. } = inputs;
+        if request.backs_off_from(&forecast.upstreams) {
             return Decision::Refuse(RefusalCause::NoUpstream);
         }
-        let best = offers.iter().find(|offer| offer.has_room);
+        let best = options.iter().find(|option| option.has_room);
         if let Some(best) =
             best.filter(|best| best.is_fresh && best.candidate.cost <= IMMEDIATE_COST)
         {
             return Decision::Place(best.candidate.clone());
         }
-        let stale = worth_asking(offers, best.is_some());
-        if !stale.is_empty() && job.may_ask(now_ms) {
-            job.asked_ms = Some(now_ms);
-            return Decision::Ask(self.not_just_asked(now_ms, stale));
+        let stale = probe_targets(options, best.is_some());
+        if !stale.is_empty() && request.may_probe(now_ms) {
+            request.probed_ms = Some(now_ms);
+            return Decision::Probe(self.without_recent_probe(now_ms, stale));
         }
-        let is_awaited = job.asked_ms.is_some_and(|at_ms| now_ms.since(at_ms) < ASK_WAIT_MS);
-        if is_awaited && !stale.is_empty() {
+        let is_probe_pending =
+            request.probed_ms.is_some_and(|at_ms| now_ms.since(at_ms) < PROBE_REPLY_WAIT_MS);
+        if is_probe_pending && !stale.is_empty() {
             return Decision::Wait;
         }
-        let done_ms = |offer: &Offer| now_ms + self.expected_ms(&offer.candidate, view);
-        let may_wait = !job.is_repeat() && !forecast.is_hopeless(now_ms, job, view.ahead);
-        match (best, offers.iter().find(|offer| offer.may_place)) {
-            (Some(best), _) if done_ms(best) <= job.due_ms => {
+        let done_ms =
+            |option: &PlacementOption| now_ms + self.expected_ms(&option.candidate, inputs);
+        let may_wait = !request.is_retry() && !forecast.is_hopeless(now_ms, request, inputs.ahead);
+        match (best, options.iter().find(|option| option.may_place)) {
+            (Some(best), _) if done_ms(best) <= request.due_ms => {
                 Decision::Place(best.candidate.clone())
             }
             _ if may_wait => Decision::Wait,
-            (_, Some(any)) if done_ms(any) <= job.latest_ms() => {
+            (_, Some(any)) if done_ms(any) <= request.latest_useful_ms() => {
                 Decision::Place(any.candidate.clone())
             }
             _ => Decision::Refuse(RefusalCause::NoRoom {
-                retry_after_ms: forecast.retry_after_ms(now_ms, job, view.ahead),
-                ahead: view.ahead,
+                retry_after_ms: forecast.retry_after_ms(now_ms, request, inputs.ahead),
+                ahead: inputs.ahead,
             }),
         }
     }
 
-    /// How long a request would take there; nothing before anything was learned.
-    fn expected_ms(&self, candidate: &Candidate, view: View<'_>) -> Millis {
-        let expected_ms = view.upstreams.expected_ms(&self.cell.service, candidate.work);
+    /// Expected duration there; zero before any duration was learned.
+    fn expected_ms(&self, candidate: &Candidate, inputs: DecisionInputs<'_>) -> Millis {
+        let expected_ms = inputs.upstreams.expected_ms(&self.cell.service, candidate.work);
         expected_ms.unwrap_or_default()
     }
 
-    fn not_just_asked(&self, now_ms: Millis, upstreams: Vec<UpstreamId>) -> Vec<UpstreamId> {
-        let is_due = |id: &UpstreamId| {
-            self.asked_ms.get(id).is_none_or(|&at_ms| now_ms.since(at_ms) >= ASK_AGAIN_MS)
+    fn without_recent_probe(&self, now_ms: Millis, upstreams: Vec<UpstreamId>) -> Vec<UpstreamId> {
+        let is_probe_due = |id: &UpstreamId| {
+            self.probed_ms.get(id).is_none_or(|&at_ms| now_ms.since(at_ms) >= PROBE_INTERVAL_MS)
         };
-        upstreams.into_iter().filter(is_due).collect()
+        upstreams.into_iter().filter(is_probe_due).collect()
     }
 
-    /// Upstreams that have room as far as this scheduler's own requests go, the best first.
-    pub(super) fn offers(&self, job: &Job, view: View<'_>, rng: &mut Pcg64Mcg) -> Vec<Offer> {
-        let is_trial = self.waited_since_trial >= TRIAL_EVERY;
-        let beyond = if job.is_repeat() { u32::MAX } else { u32::from(is_trial) };
-        let mut offers = self.offers_within(0, job, view, rng);
-        if offers.is_empty() && beyond > 0 {
-            offers = self.offers_within(beyond, job, view, rng);
+    /// Upstreams with capacity left by this scheduler's own requests, the best first.
+    pub(super) fn options(
+        &self,
+        request: &QueuedRequest,
+        inputs: DecisionInputs<'_>,
+        rng: &mut Pcg64Mcg,
+    ) -> Vec<PlacementOption> {
+        let is_trial = self.waited_since_trial >= TRIAL_INTERVAL;
+        let excess = if request.is_retry() { u32::MAX } else { u32::from(is_trial) };
+        let mut options = self.options_within(0, request, inputs, rng);
+        if options.is_empty() && excess > 0 {
+            options = self.options_within(excess, request, inputs, rng);
         }
-        offers.sort_by(|a, b| a.rank.total_cmp(&b.rank));
-        offers
+        options.sort_by(|a, b| a.rank.total_cmp(&b.rank));
+        options
     }
 
-    /// The same, up to so many requests beyond the number that upstreams work on best.
-    fn offers_within(
+    /// Options with up to `excess` requests above the best concurrency.
+    fn options_within(
         &self,
-        beyond: u32,
-        job: &Job,
-        view: View<'_>,
+        excess: u32,
+        request: &QueuedRequest,
+        inputs: DecisionInputs<'_>,
         rng: &mut Pcg64Mcg,
-    ) -> Vec<Offer> {
-        let sent = self.sent.get(&job.key.requester);
+    ) -> Vec<PlacementOption> {
+        let sent = self.last_sent.get(&request.key.requester);
         let is_connected = |id: &UpstreamId| {
             let last = sent.and_then(|sent| sent.get(id));
-            last.is_some_and(|last| !view.upstreams.has_restarted(id, last.run))
+            last.is_some_and(|last| !inputs.upstreams.has_restarted(id, last.run))
         };
-        let possible = view.forecast.upstreams.iter().filter(|id| job.may_go_to(id));
-        let offers = possible.filter_map(|id| {
-            let mut offer = self.offer(id, beyond, job, view)?;
-            let connecting = if is_connected(id) { 0.0 } else { NEW_CONNECTION };
-            offer.rank = offer.candidate.cost * (1.0 + SHAKE * rng.random::<f64>()) + connecting;
-            Some(offer)
+        let possible = inputs.forecast.upstreams.iter().filter(|id| request.may_use(id));
+        let options = possible.filter_map(|id| {
+            let mut option = self.option(id, excess, request, inputs)?;
+            let connection_cost = if is_connected(id) { 0.0 } else { NEW_CONNECTION_COST };
+            option.rank =
+                option.candidate.cost * (1.0 + RANK_JITTER * rng.random::<f64>()) + connection_cost;
+            Some(option)
         });
-        offers.collect()
+        options.collect()
     }
 
-    fn offer(&self, id: &UpstreamId, beyond: u32, job: &Job, view: View<'_>) -> Option<Offer> {
-        let View { now_ms, upstreams, .. } = view;
+    fn option(
+        &self,
+        id: &UpstreamId,
+        excess: u32,
+        request: &QueuedRequest,
+        inputs: DecisionInputs<'_>,
+    ) -> Option<PlacementOption> {
+        let DecisionInputs { now_ms, upstreams, .. } = inputs;
         let (known, curve) = (upstreams.get(id)?, upstreams.curve(id)?);
         let slots = known.entry.slots.0.max(1);
-        let most = curve.best_concurrency().saturating_add(beyond).min(slots);
-        if known.open() >= most {
+        let max_in_flight = curve.best_concurrency().saturating_add(excess).min(slots);
+        if known.open() >= max_in_flight {
             return None;
         }
         let fleet_rate = upstreams.fleet_rate(now_ms, id);
-        let has_one = |share| {
-            let may_send = |limit| view.budget.has_one(now_ms, id, limit, share);
+        let allows_request = |share| {
+            let may_send = |limit| inputs.budget.has_one(now_ms, id, limit, share);
             fleet_rate.is_none_or(may_send)
         };
-        if !has_one(hoped_share(known, now_ms, view.lent)) {
+        if !allows_request(optimistic_share(known, now_ms, inputs.lent)) {
             return None;
         }
-        let may_place = has_one(rate_share(known, now_ms, view.lent));
-        let candidate = upstreams.estimate_cost_from(now_ms, id, &job.zone)?;
-        let is_fresh = just_told(known, now_ms).is_some();
-        // Others are not this scheduler's to hold back: what they leave is used. Half a
-        // request of theirs may be nothing but what is remembered.
+        let may_place = allows_request(confirmed_share(known, now_ms, inputs.lent));
+        let candidate = upstreams.estimate_cost_from(now_ms, id, &request.zone)?;
+        let is_fresh = fresh_report(known, now_ms).is_some();
+        // Foreign requests limit a placement by slots only, not by the best concurrency. Half a
+        // request of tolerance: the foreign load is an estimate that decays.
         let occupied = known.occupied(now_ms, upstreams.load(&self.cell.service));
         let has_room = may_place && occupied + 0.5 <= f64::from(slots);
-        Some(Offer { rank: candidate.cost, candidate, is_fresh, may_place, has_room })
+        Some(PlacementOption { rank: candidate.cost, candidate, is_fresh, may_place, has_room })
     }
 }
 
-/// Upstreams of which nothing was told just now, the best first. Where nobody has room, those
-/// that are full only by what others were said to send: old hearsay would shut them off for
-/// ever.
-fn worth_asking(offers: &[Offer], has_any_room: bool) -> Vec<UpstreamId> {
-    let stale = offers.iter().filter(|offer| !offer.is_fresh && offer.has_room == has_any_room);
-    stale.take(PROBES_PER_ROUND).map(|offer| offer.candidate.upstream.clone()).collect()
+/// The best upstreams without a fresh report. If no option has room, those that only foreign load
+/// fills are probed: an outdated report would exclude them for good.
+fn probe_targets(options: &[PlacementOption], has_option_with_room: bool) -> Vec<UpstreamId> {
+    let stale =
+        options.iter().filter(|option| !option.is_fresh && option.has_room == has_option_with_room);
+    stale.take(PROBES_PER_ROUND).map(|option| option.candidate.upstream.clone()).collect()
 }
--- a/crates/dispatch/src/scheduler/directory.rs
+++ b/crates/dispatch/src/scheduler/directory.rs
@@ -1,8 +1,8 @@
-//! Whom a host takes for the scheduler of a cell.
+//! Chooses the scheduler of a cell.
 //!
-//! Rendezvous hashing over the hosts that it heard of: hosts that know the same choose the
-//! same, and one that comes or goes moves few cells. A host that did not answer twice in a row
-//! is passed over for a while, and the next in order schedules.
+//! Rendezvous hashing over the known hosts: hosts that know the same peers choose the same
+//! scheduler, and a host that joins or leaves moves few cells. A host that repeatedly doesn't
+//! respond is excluded for a while, and the next one in order schedules.
 
 use super::Cell;
 use decision_core::{Job, Role};
@@ -10,29 +10,29 @@
 use published::Member;
 use std::cmp::Reverse;
 
-/// Unanswered submissions in a row that make a host silent: a datagram is lost now and then.
-const MISSES: u32 = 2;
+/// Consecutive timeouts after which a host is unresponsive; single datagrams may get lost.
+const MAX_MISSES: u32 = 2;
 
-/// Shortest time that a silent host is passed over; doubled each time up to [`LONGEST_MS`].
-const SHORTEST_MS: u64 = 1_000;
+/// First exclusion of an unresponsive host; doubled each time up to [`MAX_EXCLUSION_MS`].
+const MIN_EXCLUSION_MS: u64 = 1_000;
 
-/// Longest time that a silent host is passed over.
-const LONGEST_MS: u64 = 8_000;
+/// Longest exclusion of an unresponsive host.
+const MAX_EXCLUSION_MS: u64 = 8_000;
 
-/// What a host knows of those that schedule.
+/// Unresponsive schedulers, as a host sees them.
 #[derive(Debug, Default)]
 pub struct Directory {
-    unheard: FastMap<HostId, Unheard>,
+    unresponsive: FastMap<HostId, Unresponsive>,
 }
 
 #[derive(Debug, Default)]
-struct Unheard {
+struct Unresponsive {
     misses: u32,
     until_ms: Millis,
 }
 
 impl Directory {
-    /// The scheduler of a cell among these hosts; none if all of them are silent.
+    /// The scheduler of a cell among these hosts; `None` if all of them are unresponsive.
     pub fn choose<'m>(
         &self,
         now_ms: Millis,
@@ -43,39 +43,40 @@
         let weight =
             |member: &Member| Job { role: Role::Scheduler, name: &name }.weight(&member.host);
         let is_eligible = |member: &&Member| {
-            let is_near = cell.zone.as_ref().is_none_or(|zone| *zone == member.availability_zone);
-            is_near && !self.is_unresponsive(now_ms, &member.host)
+            let is_in_zone =
+                cell.zone.as_ref().is_none_or(|zone| *zone == member.availability_zone);
+            is_in_zone && !self.is_unresponsive(now_ms, &member.host)
         };
         hosts.filter(is_eligible).min_by_key(|member| (Reverse(weight(member)), &member.host))
     }
 
-    /// The first in order for a cell among these hosts, silent or not.
+    /// The primary scheduler of a cell among these hosts, responsive or not.
     pub fn primary<'m>(cell: &Cell, hosts: impl Iterator<Item = &'m Member>) -> Option<&'m Member> {
         Directory::default().choose(Millis::ZERO, cell, hosts)
     }
 
-    /// Whether a host is passed over.
+    /// Whether a host is excluded.
     pub fn is_unresponsive(&self, now_ms: Millis, host: &HostId) -> bool {
-        self.unheard.get(host).is_some_and(|unheard| now_ms < unheard.until_ms)
+        self.unresponsive.get(host).is_some_and(|unresponsive| now_ms < unresponsive.until_ms)
     }
 
-    /// A host answered, or is there in a new run.
+    /// Records that a host responded or restarted.
     pub fn record_response(&mut self, host: &HostId) {
-        self.unheard.remove(host);
+        self.unresponsive.remove(host);
     }
 
-    /// A host did not answer; true if it is passed over from now on.
+    /// Records that a host didn't respond in time; returns whether this excludes it.
     pub fn record_timeout(&mut self, now_ms: Millis, host: &HostId) -> bool {
-        let unheard = self.unheard.entry(host.clone()).or_default();
-        if now_ms < unheard.until_ms {
+        let unresponsive = self.unresponsive.entry(host.clone()).or_default();
+        if now_ms < unresponsive.until_ms {
             return false;
         }
-        unheard.misses += 1;
-        if unheard.misses < MISSES {
+        unresponsive.misses += 1;
+        if unresponsive.misses < MAX_MISSES {
             return false;
         }
-        let doubled = SHORTEST_MS << (unheard.misses - MISSES).min(8);
-        unheard.until_ms = now_ms + Millis(doubled.min(LONGEST_MS));
+        let exclusion_ms = MIN_EXCLUSION_MS << (unresponsive.misses - MAX_MISSES).min(8);
+        unresponsive.until_ms = now_ms + Millis(exclusion_ms.min(MAX_EXCLUSION_MS));
         true
     }
 }
--- /dev/null
+++ b/crates/dispatch/src/scheduler/fresh_report.rs
@@ -0,0 +1,14 @@
+//! Load reports that are recent enough to place requests by.
+
+use crate::LoadReport;
+use crate::upstream::Known;
+use domain::Millis;
+
+/// Age up to which a report is as good as a probe: the load of upstreams rarely changes within it.
+const FRESH_MS: Millis = Millis(25);
+
+/// The upstream's last report, if it is recent enough.
+pub(super) fn fresh_report(known: &Known, now_ms: Millis) -> Option<LoadReport> {
+    let report = known.report(now_ms).filter(|(_, age_ms)| *age_ms <= FRESH_MS);
+    report.map(|(report, _)| report)
+}
--- a/crates/dispatch/src/scheduler/message.rs
+++ b/crates/dispatch/src/scheduler/message.rs
@@ -1,4 +1,4 @@
-//! What hosts and schedulers tell each other.
+//! Messages between hosts and schedulers.
 
 use super::{Submission, Ticket};
 use crate::backpressure::{AnswerKind, Backpressure};
@@ -7,103 +7,102 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A message that may be lost, doubled, late or out of order.
+/// A message that may be lost, duplicated, delayed or reordered.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PlacementMessage {
-    /// A request wants a place.
+    /// Submits a request for placement.
     Submit(Submission),
-    /// It waits in the queue.
+    /// The request waits in the queue.
     Queued {
-        /// Which.
+        /// The request.
         ticket: Ticket,
     },
-    /// It has its place.
+    /// The request was placed.
     Placed {
-        /// Which.
+        /// The request.
         ticket: Ticket,
-        /// Where it is to be sent.
+        /// Where to send it.
         placement: Placement,
     },
-    /// It gets none.
+    /// The request is not placed.
     Refused {
-        /// Which.
+        /// The request.
         ticket: Ticket,
         /// Why.
         cause: RefusalCause,
     },
-    /// It came to its end at the upstream where it was placed.
+    /// The request ended at its upstream.
     Ended {
-        /// Which.
+        /// The request.
         ticket: Ticket,
         /// How it ended.
         outcome: Outcome,
     },
-    /// It wants no place any more, or was not sent to the one that it got.
+    /// The request needs no placement any more, or wasn't sent to its upstream.
     Withdrawn {
-        /// Which.
+        /// The request.
         ticket: Ticket,
-        /// How far it came.
+        /// How far it got.
         withdrawal: Withdrawal,
     },
 }
 
-/// How far a request came whose place is given back.
+/// How far a withdrawn request got.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Withdrawal {
     /// It was not sent.
     NotSent,
-    /// It was not sent, as its upstream can't be reached. Untold, a scheduler placed requests on a
-    /// zone that was down until each had been tried eight times: 140 were refused within 4 s while
-    /// the other zones were idle, and none since.
+    /// It was not sent, as its upstream is unreachable. The scheduler needs to know: else it would
+    /// go on placing requests there.
     Unreachable,
-    /// It had left for its upstream.
+    /// It was sent to its upstream.
     Sent,
 }
 
-/// The place of a request, and what it was chosen by.
+/// The upstream chosen for a request, and the figures of the choice.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Placement {
-    /// Where it is to be sent.
+    /// The upstream to send it to.
     pub upstream: UpstreamId,
-    /// How long it would take, in times of the usual.
+    /// Expected duration, in multiples of the baseline.
     pub work: f32,
-    /// By which upstreams were compared.
+    /// Estimated cost, by which upstreams are compared.
     pub cost: f32,
-    /// Age of what the upstream last told.
+    /// Age of the upstream's last load report.
     pub report_age_ms: Option<Millis>,
-    /// Requests that wait before it and were not placed.
+    /// Requests ahead of it that still wait.
     pub ahead: usize,
 }
 
-/// Why a request gets no place.
+/// Why a request was not placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RefusalCause {
-    /// It could not be answered in time.
+    /// It can't be answered in time.
     NoRoom {
-        /// When it could.
+        /// When to retry.
         retry_after_ms: Millis,
-        /// Requests that wait before it.
+        /// Requests ahead of it in the queue.
         ahead: usize,
     },
-    /// The scheduler knows no upstream that takes work, or is leaving.
+    /// The scheduler knows no upstream that accepts requests, or no longer schedules.
     NoUpstream,
 }
 
-/// How a request ended at an upstream.
+/// How an attempt ended at an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Outcome {
-    /// How it failed, if it did.
+    /// The failure, if it failed.
     pub failure: Option<SendFailure>,
-    /// Time at the upstream.
+    /// Time that it took at the upstream.
     pub took_ms: Millis,
-    /// Load that the answer told.
+    /// Load reported with the response.
     pub report: Option<LoadReport>,
-    /// What it said besides of the load that the upstream bears.
+    /// Backpressure that the response stated.
     pub backpressure: Backpressure,
 }
 
 impl Outcome {
-    /// What its answer, if one came, is evidence of.
+    /// What the result says about the upstream for backpressure.
     pub fn answer_kind(&self) -> AnswerKind {
         match self.failure {
             None => AnswerKind::Served,
@@ -112,25 +111,25 @@
     }
 }
 
-/// Whose request it is.
+/// Who submitted a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Requester {
     /// The scheduler's own host.
     OwnHost,
-    /// A peer that hears at this address.
+    /// A peer that receives messages at this address.
     Peer(SocketAddr),
 }
 
-/// What a scheduler wants done.
+/// What the caller of a scheduler has to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Tell a host.
+    /// Send a message.
     Send {
-        /// Whom.
+        /// Receiver.
         to: Requester,
-        /// What.
+        /// Message.
         message: PlacementMessage,
     },
-    /// Ask an upstream for its load, and note what it told.
+    /// Probe an upstream, and record the load that it reports.
     Probe(UpstreamId),
 }
--- a/crates/dispatch/src/scheduler/placed.rs
+++ b/crates/dispatch/src/scheduler/placed.rs
@@ -1,7 +1,7 @@
-//! Requests that have their place, and beside how many others they run.
+//! Placed requests, and how many others run beside each.
 
-use super::freshness::just_told;
-use super::job::{Job, Key};
+use super::fresh_report::fresh_report;
+use super::request::{Key, QueuedRequest};
 use crate::cold::Warmth;
 use crate::cost::Candidate;
 use crate::curve::Occupancy;
@@ -9,28 +9,27 @@
 use domain::{FastMap, Millis, UpstreamId};
 use published::RunStart;
 
-/// What is left of a request that was placed and never ended: it ends with its caller's time.
-const FORGET_AFTER_MS: Millis = Millis(100);
+/// How long after its caller's deadline a placed request without a reported end is dropped.
+const EXPIRE_AFTER_MS: Millis = Millis(100);
 
-/// Requests in their places.
 #[derive(Debug, Default)]
 pub(super) struct PlacedSet {
     placed: FastMap<Key, Placed>,
 }
 
-/// A request that has its place.
+/// A placed request.
 #[derive(Debug)]
 pub(super) struct Placed {
     pub(super) upstream: UpstreamId,
-    /// The run that it went to.
+    /// The upstream's run at placement.
     pub(super) run: RunStart,
     pub(super) work: f64,
-    /// Slowness that was told when it was placed, if that was just then.
+    /// Slowness at placement, if a fresh report told it.
     pub(super) slowness: Option<f64>,
-    pub(super) spent: Occupancy,
-    /// Until then the time is in `spent`.
-    noted_ms: Millis,
-    forget_ms: Millis,
+    pub(super) occupancy: Occupancy,
+    /// Until when time is included in `occupancy`.
+    occupancy_until_ms: Millis,
+    expires_ms: Millis,
 }
 
 impl Placed {
@@ -48,50 +47,51 @@
         self.placed.is_empty()
     }
 
-    /// A request goes to an upstream, which counts it as open already.
-    pub(super) fn add(&mut self, now_ms: Millis, job: &Job, candidate: &Candidate, known: &Known) {
+    /// Adds a request that the upstream already counts as in flight.
+    pub(super) fn add(
+        &mut self,
+        now_ms: Millis,
+        request: &QueuedRequest,
+        candidate: &Candidate,
+        known: &Known,
+    ) {
         let at = (&candidate.upstream, known.entry.run);
-        self.note_time(now_ms, at, known.open() - 1);
+        self.add_time(now_ms, at, known.open() - 1);
         let placed = Placed {
             upstream: candidate.upstream.clone(),
             run: known.entry.run,
             work: candidate.work,
-            // What a cold one takes says nothing of the usual time.
-            slowness: just_told(known, now_ms)
+            // The time on a cold upstream says nothing about the baseline.
+            slowness: fresh_report(known, now_ms)
                 .filter(|_| known.warmth(now_ms) == Warmth::Warm)
                 .map(|report| report.slowness()),
-            spent: Occupancy::new(known.open()),
-            noted_ms: now_ms,
-            forget_ms: job.end_ms + FORGET_AFTER_MS,
+            occupancy: Occupancy::new(known.open()),
+            occupancy_until_ms: now_ms,
+            expires_ms: request.end_ms + EXPIRE_AFTER_MS,
         };
-        self.placed.insert(job.key, placed);
+        self.placed.insert(request.key, placed);
     }
 
-    /// Takes one out that ended or was withdrawn.
-    pub(super) fn take(&mut self, now_ms: Millis, key: Key) -> Option<Placed> {
+    /// Removes a request that ended or was withdrawn.
+    pub(super) fn remove(&mut self, now_ms: Millis, key: Key) -> Option<Placed> {
         let placed = self.placed.get(&key)?;
         let (upstream, run) = (placed.upstream.clone(), placed.run);
         let running = self.placed.values().filter(|placed| placed.is_at(&upstream, run)).count();
-        self.note_time(now_ms, (&upstream, run), running as u32);
+        self.add_time(now_ms, (&upstream, run), running as u32);
         self.placed.remove(&key)
     }
 
-    /// Those whose callers' time is over.
-    pub(super) fn over(&self, now_ms: Millis) -> Vec<Key> {
-        let over = self.placed.iter().filter(|(_, placed)| placed.forget_ms <= now_ms);
-        over.map(|(key, _)| *key).collect()
+    /// Requests whose callers no longer wait.
+    pub(super) fn expired(&self, now_ms: Millis) -> Vec<Key> {
+        let expired = self.placed.iter().filter(|(_, placed)| placed.expires_ms <= now_ms);
+        expired.map(|(key, _)| *key).collect()
     }
 
-    /// So many ran on an upstream until now.
-    fn note_time(
-        &mut self,
-        now_ms: Millis,
-        (upstream, run): (&UpstreamId, RunStart),
-        running: u32,
-    ) {
+    /// Adds the time since the last change, during which this many requests ran on the upstream.
+    fn add_time(&mut self, now_ms: Millis, (upstream, run): (&UpstreamId, RunStart), running: u32) {
         for placed in self.placed.values_mut().filter(|placed| placed.is_at(upstream, run)) {
-            placed.spent.add(running, now_ms.since(placed.noted_ms).as_f64());
-            placed.noted_ms = now_ms;
+            placed.occupancy.add(running, now_ms.since(placed.occupancy_until_ms).as_f64());
+            placed.occupancy_until_ms = now_ms;
         }
     }
 }
--- /dev/null
+++ b/crates/dispatch/src/scheduler/placement_rates.rs
@@ -0,0 +1,70 @@
+//! Fleet-wide rate limits that upstreams stated, as far as a scheduler may spend them.
+
+use super::fresh_report::fresh_report;
+use super::{Cell, Requester};
+use crate::fleet_rate::{Lenders, Lent, RateBudget};
+use crate::subset::FleetSize;
+use crate::upstream::Known;
+use crate::upstream_set::UpstreamSet;
+use domain::{HostId, Millis, UpstreamId};
+
+/// The part of such limits that this host may spend for the hosts that submit requests to it.
+#[derive(Debug)]
+pub(super) struct PlacementRates {
+    pub(super) budget: RateBudget,
+    lenders: Lenders,
+    fleet: FleetSize,
+}
+
+impl PlacementRates {
+    pub(super) fn new(host: HostId) -> PlacementRates {
+        let alone = FleetSize { hosts: 1, hosts_in_zone: 1 };
+        PlacementRates { budget: RateBudget::new(host), lenders: Lenders::default(), fleet: alone }
+    }
+
+    pub(super) fn set_fleet(&mut self, fleet: FleetSize) {
+        self.fleet = fleet;
+    }
+
+    /// Records that a host submitted a request of a cell and lends this host its share.
+    pub(super) fn record_lent_share(&mut self, now_ms: Millis, cell: &Cell, requester: Requester) {
+        self.lenders.note(now_ms, cell, requester);
+    }
+
+    /// Drops shares that are no longer lent, and upstreams without a rate limit.
+    pub(super) fn expire(&mut self, now_ms: Millis, upstreams: &UpstreamSet) {
+        self.lenders.forget(now_ms);
+        self.budget.retain(|id| upstreams.fleet_rate(now_ms, id).is_some());
+    }
+
+    /// Records a placement on an upstream, which may have a rate limit.
+    pub(super) fn spend(
+        &mut self,
+        now_ms: Millis,
+        id: &UpstreamId,
+        lent: Lent,
+        upstreams: &UpstreamSet,
+    ) {
+        if let (Some(limit), Some(known)) = (upstreams.fleet_rate(now_ms, id), upstreams.get(id)) {
+            self.budget.take(now_ms, id, limit, confirmed_share(known, now_ms, lent));
+        }
+    }
+
+    /// The shares lent to the scheduler of a cell.
+    pub(super) fn lent_shares(&self, now_ms: Millis, cell: &Cell, is_primary: bool) -> Lent {
+        let lenders = f64::from(self.lenders.count(now_ms, cell));
+        let part = |of: u32| (lenders / f64::from(of.max(1))).min(1.0);
+        let hosts = if cell.zone.is_some() { self.fleet.hosts_in_zone } else { self.fleet.hosts };
+        Lent { of_fleet: part(self.fleet.hosts), of_cell: part(hosts), is_primary }
+    }
+}
+
+/// Share of the fleet's rate that may be spent on an upstream.
+pub(super) fn confirmed_share(known: &Known, now_ms: Millis, lent: Lent) -> f64 {
+    lent.spendable(fresh_report(known, now_ms).is_some() && known.others() < 0.5)
+}
+
+/// The same, assuming no foreign requests if there is no fresh report.
+pub(super) fn optimistic_share(known: &Known, now_ms: Millis, lent: Lent) -> f64 {
+    lent.spendable(fresh_report(known, now_ms).is_none() || known.others() < 0.5)
+}
--- a/crates/dispatch/src/scheduler/set.rs
+++ b/crates/dispatch/src/scheduler/set.rs
@@ -1,58 +1,58 @@
-//! All that a host schedules.
+//! All schedulers of a host.
 
-use super::job::{Job, Key};
 use super::message::{Effect, PlacementMessage, RefusalCause, Requester, Withdrawal};
-use super::rate_placing::RatePlacing;
+use super::placement_rates::PlacementRates;
+use super::request::{Key, QueuedRequest};
 use super::{Cell, Scheduler};
 use crate::subset::FleetSize;
 use crate::upstream_set::UpstreamSet;
 use domain::{FastMap, HostId, Millis};
 use rand_pcg::Pcg64Mcg;
 
-/// How often requests that wait are looked at, besides when something is learned.
+/// Interval at which waiting requests are re-evaluated when no new information arrives.
 const SCHEDULE_INTERVAL_MS: Millis = Millis(4);
 
-/// The schedulers of a host, by cell; they come with the first request and go with the last.
+/// The schedulers of a host by cell, created with a cell's first request and dropped once idle.
 #[derive(Debug)]
 pub struct SchedulerSet {
     schedulers: FastMap<Cell, Scheduler>,
-    rates: RatePlacing,
-    is_leaving: bool,
+    rates: PlacementRates,
+    is_closed: bool,
 }
 
 impl SchedulerSet {
-    /// Nothing is scheduled yet by this host.
+    /// No schedulers yet.
     pub fn new(host: HostId) -> SchedulerSet {
         SchedulerSet {
             schedulers: FastMap::default(),
-            rates: RatePlacing::new(host),
-            is_leaving: false,
+            rates: PlacementRates::new(host),
+            is_closed: false,
         }
     }
 
-    /// Takes how many hosts there are: each has an equal share of what the fleet may send.
+    /// Sets the number of hosts; each owns an equal share of fleet-wide rate limits.
     pub fn set_fleet(&mut self, fleet: FleetSize) {
         self.rates.set_fleet(fleet);
     }
 
-    /// Takes for which cells this host is the first in order.
+    /// Sets for which cells this host is the primary scheduler.
     pub fn set_primary(&mut self, is_primary: impl Fn(&Cell) -> bool) {
         for (cell, scheduler) in &mut self.schedulers {
             scheduler.is_primary = Some(is_primary(cell));
         }
     }
 
-    /// Whether for some cell nobody has looked yet whether this host is the first in order.
+    /// Whether `set_primary` is still due for some cell.
     pub fn has_unknown_primary(&self) -> bool {
         self.schedulers.values().any(|scheduler| scheduler.is_primary.is_none())
     }
 
-    /// From now on nothing new is taken.
+    /// Refuses all submissions from now on.
     pub fn stop_accepting(&mut self) {
-        self.is_leaving = true;
+        self.is_closed = true;
     }
 
-    /// Takes a host's message.
+    /// Handles a message from a host.
     pub fn handle_message(
         &mut self,
         now_ms: Millis,
@@ -63,7 +63,7 @@
     ) -> Vec<Effect> {
         let mut effects = Vec::new();
         let scheduler = match message {
-            PlacementMessage::Submit(submission) if self.is_leaving => {
+            PlacementMessage::Submit(submission) if self.is_closed => {
                 let (ticket, cause) = (submission.ticket, RefusalCause::NoUpstream);
                 let message = PlacementMessage::Refused { ticket, cause };
                 return vec![Effect::Send { to: requester, message }];
@@ -73,17 +73,17 @@
                 let new = || Scheduler::new(cell.clone());
                 let scheduler = self.schedulers.entry(cell.clone()).or_insert_with(new);
                 if submission.lends_rate_share {
-                    self.rates.note_lent(now_ms, cell, requester);
+                    self.rates.record_lent_share(now_ms, cell, requester);
                 }
-                let job = Job::new(now_ms, submission, requester);
-                if !scheduler.knows(job.key) {
-                    effects.extend(scheduler.submit(job));
+                let request = QueuedRequest::new(now_ms, submission, requester);
+                if !scheduler.contains(request.key) {
+                    effects.extend(scheduler.submit(request));
                 }
                 Some(scheduler)
             }
             PlacementMessage::Ended { ticket, outcome } => {
                 let key = Key { requester, ticket };
-                let mut scheduler = that_knows(&mut self.schedulers, key);
+                let mut scheduler = scheduler_of(&mut self.schedulers, key);
                 if let Some(scheduler) = &mut scheduler {
                     scheduler.end(now_ms, key, &outcome, upstreams);
                 }
@@ -91,7 +91,7 @@
             }
             PlacementMessage::Withdrawn { ticket, withdrawal } => {
                 let key = Key { requester, ticket };
-                let mut scheduler = that_knows(&mut self.schedulers, key);
+                let mut scheduler = scheduler_of(&mut self.schedulers, key);
                 if let Some(scheduler) = &mut scheduler {
                     let upstream = scheduler.withdraw(now_ms, key, withdrawal, upstreams);
                     if let Some(upstream) = upstream.filter(|_| withdrawal != Withdrawal::Sent) {
@@ -110,7 +110,7 @@
         effects
     }
 
-    /// Something was learned of upstreams, or time has passed.
+    /// Re-evaluates all waiting requests, after new information on upstreams or as time passes.
     pub fn schedule(
         &mut self,
         now_ms: Millis,
@@ -121,23 +121,23 @@
         for scheduler in self.schedulers.values_mut() {
             scheduler.schedule(now_ms, upstreams, &mut self.rates, rng, &mut effects);
         }
-        self.rates.forget(now_ms, upstreams);
+        self.rates.expire(now_ms, upstreams);
         self.schedulers.retain(|_, scheduler| !scheduler.is_idle());
         effects
     }
 
-    /// When to look again; none while nothing waits.
+    /// When to call `schedule` again; `None` while nothing waits.
     pub fn next_schedule_ms(&self, now_ms: Millis) -> Option<Millis> {
-        let waits = |scheduler: &Scheduler| !scheduler.waiting.is_empty();
-        self.schedulers.values().any(waits).then_some(now_ms + SCHEDULE_INTERVAL_MS)
+        let has_waiting = |scheduler: &Scheduler| !scheduler.waiting.is_empty();
+        self.schedulers.values().any(has_waiting).then_some(now_ms + SCHEDULE_INTERVAL_MS)
     }
 
-    /// Requests that wait for a place.
+    /// Number of waiting requests.
     pub fn waiting_count(&self) -> usize {
         self.schedulers.values().map(|scheduler| scheduler.waiting.len()).sum()
     }
 }
 
-fn that_knows(schedulers: &mut FastMap<Cell, Scheduler>, key: Key) -> Option<&mut Scheduler> {
-    schedulers.values_mut().find(|scheduler| scheduler.knows(key))
+fn scheduler_of(schedulers: &mut FastMap<Cell, Scheduler>, key: Key) -> Option<&mut Scheduler> {
+    schedulers.values_mut().find(|scheduler| scheduler.contains(key))
 }
