--- a/crates/dispatch/src/fleet_rate/sharing.rs
+++ b/crates/dispatch/src/fleet_rate/sharing.rs
@@ -1,8 +1,8 @@
 //! Whose part of the fleet's rate is whose: each host's own, or lent to a scheduler.
 
 use super::budget::{FleetRate, RateBudget};
-use crate::scheduler::{Asker, Cell};
-use crate::subset::FleetShape;
+use crate::scheduler::{Cell, Requester};
+use crate::subset::FleetSize;
 use crate::upstream_set::UpstreamSet;
 use domain::{FastMap, HostId, Millis, ServiceName, UpstreamId};
 
@@ -27,9 +27,9 @@
 
 /// The hosts that share what the fleet may send to an upstream, as a host sees them so long
 /// after its start.
-pub fn sharing_fleet(known: FleetShape, since_start_ms: Millis) -> FleetShape {
+pub fn sharing_fleet(known: FleetSize, since_start_ms: Millis) -> FleetSize {
     match since_start_ms < KNOWING_MS {
-        true => FleetShape {
+        true => FleetSize {
             hosts: known.hosts.max(UNKNOWN_HOSTS),
             hosts_in_zone: known.hosts_in_zone.max(UNKNOWN_HOSTS),
         },
@@ -119,7 +119,7 @@
     fn share(&self, now_ms: Millis, upstreams: &UpstreamSet, id: &UpstreamId, hosts: u32) -> f64 {
         let is_lent = self.lent.iter().any(|(cell, (_, lent_ms))| {
             now_ms.since(*lent_ms) < LENT_MS
-                && upstreams.get(id).is_some_and(|known| cell.holds(&known.entry))
+                && upstreams.get(id).is_some_and(|known| cell.contains(&known.entry))
         });
         if is_lent { 0.0 } else { 1.0 / f64::from(hosts.max(1)) }
     }
@@ -140,14 +140,14 @@
     pub(crate) of_cell: f64,
     /// No other host comes before it in order: of two that schedule the same cell just one may take
     /// more than it was lent.
-    pub(crate) is_first: bool,
+    pub(crate) is_primary: bool,
 }
 
 impl Lent {
     /// The part of the rate that may be spent on an upstream, by whether that has just shown
     /// requests of others.
     pub(crate) fn spendable(&self, is_alone: bool) -> f64 {
-        match (self.is_first, is_alone) {
+        match (self.is_primary, is_alone) {
             (true, true) => (self.of_cell / ENOUGH_LENT).min(1.0),
             (true, false) => self.of_cell,
             (false, _) => self.of_fleet,
@@ -158,12 +158,12 @@
 /// Hosts that hand their requests to a scheduler, and lend it their shares.
 #[derive(Debug, Default)]
 pub(crate) struct Lenders {
-    lent_ms: FastMap<Cell, FastMap<Asker, Millis>>,
+    lent_ms: FastMap<Cell, FastMap<Requester, Millis>>,
 }
 
 impl Lenders {
-    pub(crate) fn note(&mut self, now_ms: Millis, cell: &Cell, asker: Asker) {
-        self.lent_ms.entry(cell.clone()).or_default().insert(asker, now_ms);
+    pub(crate) fn note(&mut self, now_ms: Millis, cell: &Cell, requester: Requester) {
+        self.lent_ms.entry(cell.clone()).or_default().insert(requester, now_ms);
     }
 
     /// How many lend their shares by now.
--- a/crates/dispatch/src/upstream_set.rs
+++ b/crates/dispatch/src/upstream_set.rs
@@ -9,12 +9,12 @@
 
 use crate::LoadReport;
 use crate::backpressure::BackpressureSet;
-use crate::choice::{Candidate, Weighing, weigh};
 use crate::cold::Warmth;
+use crate::cost::{Candidate, CostInputs, estimate_cost};
 use crate::curve::SpeedCurve;
-use crate::service::{Run, Service};
+use crate::service::{Service, ServiceTimeSample};
 use crate::service_load::ServiceLoad;
-use crate::subset::{FleetShape, Subset};
+use crate::subset::{FleetSize, Subset};
 use crate::upstream::Known;
 use domain::{FastMap, HostId, Millis, ServiceName, UpstreamId, ZoneName};
 use held_back::eligibility;
@@ -77,17 +77,17 @@
     }
 
     /// About how many hosts share the health checks of an upstream.
-    pub fn sharing_hosts(&self, service: &ServiceName, id: &UpstreamId, fleet: FleetShape) -> f64 {
+    pub fn probing_hosts(&self, service: &ServiceName, id: &UpstreamId, fleet: FleetSize) -> f64 {
         let service = self.services.get(service);
-        service.map_or(f64::from(fleet.hosts), |service| service.subset.sharing_hosts(id, fleet))
+        service.map_or(f64::from(fleet.hosts), |service| service.subset.probing_hosts(id, fleet))
     }
 
     /// About how many hosts of this availability zone share the health checks of an upstream
     /// of it.
-    pub fn sharing_neighbours(&self, service: &ServiceName, fleet: FleetShape) -> f64 {
+    pub fn probing_hosts_in_zone(&self, service: &ServiceName, fleet: FleetSize) -> f64 {
         let service = self.services.get(service);
         let near = f64::from(fleet.hosts_in_zone);
-        service.map_or(near, |service| service.subset.sharing_neighbours(fleet))
+        service.map_or(near, |service| service.subset.probing_hosts_in_zone(fleet))
     }
 
     /// One upstream.
@@ -204,12 +204,12 @@
     }
 
     /// What a request of this host would cost at an upstream now.
-    pub fn weigh(&self, now_ms: Millis, id: &UpstreamId) -> Option<Candidate> {
-        self.weigh_from(now_ms, id, &self.zone)
+    pub fn estimate_cost(&self, now_ms: Millis, id: &UpstreamId) -> Option<Candidate> {
+        self.estimate_cost_from(now_ms, id, &self.zone)
     }
 
     /// What a request of a host in an availability zone would cost at an upstream now.
-    pub fn weigh_from(
+    pub fn estimate_cost_from(
         &self,
         now_ms: Millis,
         id: &UpstreamId,
@@ -219,7 +219,7 @@
         let service = self.services.get(&known.entry.service)?;
         let is_other_zone = known.entry.availability_zone != *zone;
         let (load, curve) = (service.load, service.curve(known.entry.slots)?);
-        Some(weigh(known, Weighing { load, curve, now_ms, is_other_zone }))
+        Some(estimate_cost(known, CostInputs { load, curve, now_ms, is_other_zone }))
     }
 
     /// How an upstream slows down as its slots fill.
@@ -250,24 +250,24 @@
     }
 
     /// An answer took so long where so much work was expected.
-    pub fn note_duration(&mut self, service: &ServiceName, took_ms: Millis, work: f64) {
+    pub fn record_duration(&mut self, service: &ServiceName, took_ms: Millis, work: f64) {
         if let Some(service) = self.services.get_mut(service) {
-            service.note_duration(took_ms, work);
+            service.record_duration(took_ms, work);
         }
     }
 
     /// A request ran so on an upstream.
-    pub fn note_run(&mut self, id: &UpstreamId, run: &Run) {
+    pub fn record_service_time(&mut self, id: &UpstreamId, sample: &ServiceTimeSample) {
         let Some(known) = self.known.get(id) else { return };
         if let Some(service) = self.services.get_mut(&known.entry.service) {
-            service.note_run(known.entry.slots, run);
+            service.record_service_time(known.entry.slots, sample);
         }
     }
 
     /// An answer of a busy or slow upstream took so long where so much work was expected.
-    pub fn note_stretch(&mut self, service: &ServiceName, took_ms: Millis, work: f64) {
+    pub fn record_overrun(&mut self, service: &ServiceName, took_ms: Millis, work: f64) {
         if let Some(service) = self.services.get_mut(service) {
-            service.note_stretch(took_ms, work);
+            service.record_overrun(took_ms, work);
         }
     }
 
--- a/crates/gateway/src/serve/finding.rs
+++ b/crates/gateway/src/serve/finding.rs
@@ -9,10 +9,10 @@
 use crate::connection::Connection;
 use crate::event_log::{ChosenBy, LogEvent};
 use crate::host::duration;
-use crate::placing::{self, Placement, PlacementGuard};
+use crate::placing::{self, PlacementGuard, PlacementResult};
 use dispatch::attempts::{Cause, Refusal};
-use dispatch::scheduler::{Cell, Place, RefusalCause, Submission, Ticket};
-use dispatch::{DeadlineCheck, Offer, Verdict};
+use dispatch::scheduler::{Cell, Placement, RefusalCause, Submission, Ticket};
+use dispatch::{DeadlineCheck, LatencyEstimate, Verdict};
 use domain::{Millis, UpstreamId, ZoneName};
 
 /// Time between the choice and the sending past which the world is looked at again.
@@ -102,8 +102,8 @@
         let upstreams = self.host.upstreams.borrow();
         let free_in_ms = upstreams.free_in(self.host.now_ms(), &self.service);
         match (counts.may_have_run() > 0, free_in_ms) {
-            (true, _) => Refusal::unknown(Cause::UpstreamFailed),
-            (false, Some(free_in_ms)) => Refusal::limited(free_in_ms),
+            (true, _) => Refusal::may_have_run(Cause::UpstreamFailed),
+            (false, Some(free_in_ms)) => Refusal::rate_limited(free_in_ms),
             (false, None) if upstreams.is_evacuated(&self.service) => {
                 Refusal::not_run(Cause::ZonesEvacuated)
             }
@@ -122,11 +122,13 @@
             return Ok(Some(neighbour));
         }
         match self.place(counts).await {
-            Placement::Placed(held, place) => Ok(Some(self.placed(held, place, begun_ms))),
-            Placement::Refused(RefusalCause::NoRoom { retry_after_ms, ahead }) => {
+            PlacementResult::Placed(held, placement) => {
+                Ok(Some(self.placed(held, placement, begun_ms)))
+            }
+            PlacementResult::Refused(RefusalCause::NoRoom { retry_after_ms, ahead }) => {
                 Err(self.no_room(retry_after_ms, ahead, counts))
             }
-            Placement::Refused(RefusalCause::NoUpstream) | Placement::Unanswered => {
+            PlacementResult::Refused(RefusalCause::NoUpstream) | PlacementResult::Unanswered => {
                 self.ask(begun_ms, counts).await
             }
         }
@@ -144,19 +146,19 @@
 
     /// Has the scheduler of the own availability zone place it, or where that has no room that
     /// of another one.
-    async fn place(&self, counts: &SendingCounts) -> Placement {
+    async fn place(&self, counts: &SendingCounts) -> PlacementResult {
         if self.host.is_partial() {
-            return Placement::Unanswered;
+            return PlacementResult::Unanswered;
         }
         let zone = self.host.settings.borrow().availability_zone.clone();
         let cell = {
             let (upstreams, mut rng) = (self.host.upstreams.borrow(), self.host.rng.borrow_mut());
-            Cell::of(&self.service, &zone, &upstreams, &mut rng)
+            Cell::for_request(&self.service, &zone, &upstreams, &mut rng)
         };
         let asked_zone = cell.zone.clone();
         let placement = placing::place(&self.host, cell, self.submission(&zone, counts)).await;
         // Its zone has no room, or none that can be reached.
-        let has_no_room = matches!(placement, Placement::Refused(_));
+        let has_no_room = matches!(placement, PlacementResult::Refused(_));
         match asked_zone.and_then(|asked| self.other_zone(&asked)) {
             Some(other) if has_no_room => {
                 let cell = Cell { service: self.service.clone(), zone: Some(other) };
@@ -193,12 +195,12 @@
             left_ms,
             tried,
             backing_off,
-            lends: false,
+            lends_rate_share: false,
         }
     }
 
-    fn placed(&self, held: PlacementGuard, place: Place, sought_ms: Millis) -> Found {
-        let Place { upstream, work, cost, report_age_ms, ahead } = place;
+    fn placed(&self, held: PlacementGuard, placement: Placement, sought_ms: Millis) -> Found {
+        let Placement { upstream, work, cost, report_age_ms, ahead } = placement;
         let (work, cost) = (f64::from(work), f64::from(cost));
         let by = ChosenBy::Scheduler {
             scheduler: held.scheduler().clone(),
@@ -212,7 +214,7 @@
     fn no_room(&self, retry_after_ms: Millis, ahead: usize, counts: &SendingCounts) -> Refusal {
         self.host.log.write(&LogEvent::Unplaced { id: &self.id, ahead, retry_after_ms });
         match counts.may_have_run() > 0 {
-            true => Refusal::unknown(Cause::UpstreamFailed),
+            true => Refusal::may_have_run(Cause::UpstreamFailed),
             false => Refusal::overloaded(retry_after_ms),
         }
     }
@@ -229,8 +231,8 @@
             self.check_time(now_ms, counts)?;
             let Some(chosen) = chosen else { return Ok(None) };
             match self.weigh(now_ms, &chosen, counts) {
-                Verdict::Take => return Ok(Some(self.chosen(chosen, sought_ms))),
-                Verdict::AskAgain(pause_ms) => {
+                Verdict::Send => return Ok(Some(self.chosen(chosen, sought_ms))),
+                Verdict::ProbeAgain(pause_ms) => {
                     chosen.put_back(&self.host);
                     clock::sleep(duration(pause_ms)).await;
                 }
@@ -259,7 +261,7 @@
     /// Only a first sending is kept back: what was sent once has lost its time already.
     fn weigh(&self, now_ms: Millis, chosen: &Chosen, counts: &SendingCounts) -> Verdict {
         if counts.sent > 0 {
-            return Verdict::Take;
+            return Verdict::Send;
         }
         let check = DeadlineCheck {
             arrived_ms: self.request.arrived_ms,
@@ -267,8 +269,8 @@
             end_ms: self.end_ms,
         };
         let expected_ms = self.host.upstreams.borrow().expected_ms(&self.service, chosen.work);
-        let verdict = check.weigh(now_ms, Offer { expected_ms });
-        if verdict != Verdict::Take {
+        let verdict = check.check(now_ms, LatencyEstimate { expected_ms });
+        if verdict != Verdict::Send {
             self.host.log.write(&LogEvent::Declined {
                 id: &self.id,
                 upstream: &chosen.upstream,
@@ -300,7 +302,7 @@
 
 fn out_of_time(counts: &SendingCounts) -> Refusal {
     match counts.may_have_run() > 0 {
-        true => Refusal::unknown(Cause::TimedOut),
+        true => Refusal::may_have_run(Cause::TimedOut),
         false => Refusal::not_run(Cause::Expired),
     }
 }
