--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -39,5 +39,5 @@
 pub use service_load::ServiceLoad;
 pub use split::SplitTable;
 pub use subset::{ALL, FAR, FleetShape, NEAR, Subset};
-pub use upstream::{AskFailure, Known, SendFailure};
+pub use upstream::{AttemptFailure, Known, ProbeFailure};
 pub use upstream_set::{Reach, UpstreamSet};
--- a/crates/dispatch/src/scheduler.rs
+++ b/crates/dispatch/src/scheduler.rs
@@ -31,7 +31,7 @@
 
 use crate::choice::Candidate;
 use crate::service::Run;
-use crate::upstream::AskFailure;
+use crate::upstream::ProbeFailure;
 use crate::upstream_set::UpstreamSet;
 use decision::{Decision, View};
 use domain::{FastMap, Millis, UpstreamId};
@@ -130,7 +130,7 @@
         if let Some(known) = upstreams.get_run_mut(&placed.upstream, placed.run) {
             known.note_withdrawn();
             if how == Withdrawal::Unreachable {
-                known.note_ask_failed(now_ms, AskFailure::Unreachable);
+                known.note_ask_failed(now_ms, ProbeFailure::Unreachable);
             }
         }
         Some(placed.upstream)
--- a/crates/dispatch/src/scheduler/message.rs
+++ b/crates/dispatch/src/scheduler/message.rs
@@ -2,7 +2,7 @@
 
 use super::{Submission, Ticket};
 use crate::backpressure::{AnswerKind, Backpressure};
-use crate::{LoadReport, SendFailure};
+use crate::{AttemptFailure, LoadReport};
 use domain::{Millis, UpstreamId};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -93,7 +93,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Outcome {
     /// How it failed, if it did.
-    pub failure: Option<SendFailure>,
+    pub failure: Option<AttemptFailure>,
     /// Time at the upstream.
     pub took_ms: Millis,
     /// Load that the answer told.
--- a/crates/dispatch/src/upstream.rs
+++ b/crates/dispatch/src/upstream.rs
@@ -33,7 +33,7 @@
 /// How asking an upstream failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum AskFailure {
+pub enum ProbeFailure {
     /// No connection, or it broke.
     Unreachable,
     /// It said that it is unwell, or is leaving.
@@ -41,21 +41,25 @@
     /// Another upstream has the address.
     OtherUpstream,
     /// It did not answer in time.
-    Silent,
+    #[serde(rename = "silent")]
+    TimedOut,
 }
 
 /// How sending a request failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum SendFailure {
+pub enum AttemptFailure {
     /// It answered with an error of its own.
-    ErrorAnswer,
+    #[serde(rename = "error-answer")]
+    ErrorResponse,
     /// It declared that it did not run the request.
     Shed,
     /// The connection broke, or the answer was spoilt.
-    Broken,
+    #[serde(rename = "broken")]
+    Disconnected,
     /// No answer came for far longer than usual.
-    Silent,
+    #[serde(rename = "silent")]
+    TimedOut,
 }
 
 /// What is known of an upstream.
@@ -204,12 +208,12 @@
     }
 
     /// Asking it failed.
-    pub fn note_ask_failed(&mut self, now_ms: Millis, failure: AskFailure) {
+    pub fn note_ask_failed(&mut self, now_ms: Millis, failure: ProbeFailure) {
         match failure {
-            AskFailure::OtherUpstream => self.avoid_until_ms = now_ms + Millis(MAX_AVOID_MS),
-            AskFailure::Unreachable | AskFailure::Unwell | AskFailure::Silent => {
+            ProbeFailure::OtherUpstream => self.avoid_until_ms = now_ms + Millis(MAX_AVOID_MS),
+            ProbeFailure::Unreachable | ProbeFailure::Unwell | ProbeFailure::TimedOut => {
                 // It may have been down, and is cold when it is back.
-                if failure != AskFailure::Unwell {
+                if failure != ProbeFailure::Unwell {
                     self.cold.note_away(now_ms);
                 }
                 self.unreached = self.unreached.saturating_add(1);
@@ -231,14 +235,18 @@
     }
 
     /// A request sent to it came to its end.
-    pub fn note_ended(&mut self, now_ms: Millis, failure: Option<SendFailure>) {
+    pub fn note_ended(&mut self, now_ms: Millis, failure: Option<AttemptFailure>) {
         self.open = self.open.saturating_sub(1);
         self.ended.add(now_ms, 1.0);
         match failure {
-            Some(SendFailure::ErrorAnswer | SendFailure::Broken | SendFailure::Silent) => {
+            Some(
+                AttemptFailure::ErrorResponse
+                | AttemptFailure::Disconnected
+                | AttemptFailure::TimedOut,
+            ) => {
                 self.failed.add(now_ms, 1.0);
             }
-            Some(SendFailure::Shed) => self.failed.add(now_ms, 0.5),
+            Some(AttemptFailure::Shed) => self.failed.add(now_ms, 0.5),
             None => {}
         }
     }
--- a/crates/dispatch/tests/choice.rs
+++ b/crates/dispatch/tests/choice.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use dispatch::{
-    AskFailure, Candidate, Known, Reach, SendFailure, ServiceLoad, SpeedCurve, Weighing,
+    AttemptFailure, Candidate, Known, ProbeFailure, Reach, ServiceLoad, SpeedCurve, Weighing,
 };
 use domain::{Millis, Slots, UpstreamId};
 use published::{Evacuations, RunStart, UpstreamMode};
@@ -25,7 +25,7 @@
     let mut known = told(0, 0, 100, 0);
     for _ in 0..failures {
         known.note_sent(NOW);
-        known.note_ended(NOW, Some(SendFailure::Broken));
+        known.note_ended(NOW, Some(AttemptFailure::Disconnected));
     }
     known.note_report(NOW, report(0, 0, 100));
     known
@@ -159,7 +159,7 @@
 #[test]
 fn who_can_not_be_reached_is_left_alone_unless_nobody_else_is_there() {
     let mut set = set(&[entry("i-1", "kariakoo"), entry("i-2", "kariakoo")]);
-    set.get_mut(&id("i-1")).unwrap().note_ask_failed(NOW, AskFailure::Unreachable);
+    set.get_mut(&id("i-1")).unwrap().note_ask_failed(NOW, ProbeFailure::Unreachable);
     assert_eq!(asked(&set, &[], 3), ["i-2"]);
     assert_eq!(asked(&set, &["i-2"], 3), ["i-1"]);
     set.get_mut(&id("i-1")).unwrap().note_asked();
@@ -171,7 +171,7 @@
     let mut known = known("i-1");
     let mut spans = Vec::new();
     for _ in 0..6 {
-        known.note_ask_failed(NOW, AskFailure::Silent);
+        known.note_ask_failed(NOW, ProbeFailure::TimedOut);
         let span = (0..10_000).find(|&ms| !known.is_avoided(NOW + Millis(ms))).unwrap();
         spans.push(span);
     }
--- a/crates/dispatch/tests/cold.rs
+++ b/crates/dispatch/tests/cold.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use dispatch::{AskFailure, UpstreamSet, Warmth};
+use dispatch::{ProbeFailure, UpstreamSet, Warmth};
 use domain::{Connections, Millis, PerSecond};
 use published::{Change, Entry, Evacuations, Item, Picture, Revision, RunStart};
 use published::{ServiceSettings, Upstream};
@@ -145,7 +145,7 @@
             }
             Told::Answer(left_ms) => set.note_cold(NOW, upstream, left_ms.map(Millis)),
             Told::Unreachable => {
-                set.get_mut(upstream.0).unwrap().note_ask_failed(NOW, AskFailure::Unreachable);
+                set.get_mut(upstream.0).unwrap().note_ask_failed(NOW, ProbeFailure::Unreachable);
             }
             Told::Evacuated | Told::Restored => {
                 let zone: domain::ZoneName = "kariakoo".parse().unwrap();
--- a/crates/dispatch/tests/restart.rs
+++ b/crates/dispatch/tests/restart.rs
@@ -7,7 +7,7 @@
 use dispatch::scheduler::{
     Asker, Effect, Outcome, PlacementMessage, SchedulerSet, Ticket, Withdrawal,
 };
-use dispatch::{AskFailure, SendFailure, UpstreamSet};
+use dispatch::{AttemptFailure, ProbeFailure, UpstreamSet};
 use domain::Millis;
 use published::{Evacuations, RunStart};
 use rand::SeedableRng;
@@ -25,8 +25,8 @@
     let known = set.get_mut(&id("i-1")).unwrap();
     known.note_sent(NOW);
     known.note_sent(NOW);
-    known.note_ended(NOW, Some(SendFailure::Broken));
-    known.note_ask_failed(NOW, AskFailure::Unreachable);
+    known.note_ended(NOW, Some(AttemptFailure::Disconnected));
+    known.note_ask_failed(NOW, ProbeFailure::Unreachable);
     set.sync(NOW, [of_run("i-1", 200)].iter(), &Evacuations::default());
     set
 }
@@ -79,7 +79,7 @@
     take(&mut upstreams, submit(2));
     assert_eq!(upstreams.get(&id("i-1")).unwrap().open(), 1);
     let outcome = Outcome {
-        failure: Some(SendFailure::Broken),
+        failure: Some(AttemptFailure::Disconnected),
         took_ms: Millis(5),
         report: Some(report(6, 9, 700)),
         backpressure: Backpressure::default(),
--- a/crates/dispatch/tests/scheduler.rs
+++ b/crates/dispatch/tests/scheduler.rs
@@ -8,7 +8,7 @@
     Asker, Cell, Effect, Outcome, PlacementMessage, RefusalCause, SchedulerSet, Submission, Ticket,
     Withdrawal,
 };
-use dispatch::{AskFailure, LoadReport, SendFailure, UpstreamSet};
+use dispatch::{AttemptFailure, LoadReport, ProbeFailure, UpstreamSet};
 use domain::{Millis, UpstreamId};
 use published::{Entry, Evacuations, Revision, RunStart};
 use rand::SeedableRng;
@@ -75,7 +75,12 @@
         (ticket, self.take(PlacementMessage::Submit(submission)))
     }
 
-    fn end(&mut self, ticket: Ticket, failure: Option<SendFailure>, took_ms: u64) -> Vec<Effect> {
+    fn end(
+        &mut self,
+        ticket: Ticket,
+        failure: Option<AttemptFailure>,
+        took_ms: u64,
+    ) -> Vec<Effect> {
         let outcome = Outcome {
             failure,
             took_ms: Millis(took_ms),
@@ -317,7 +322,7 @@
 #[case::out_of_reach(|play: &mut Play| {
     let now_ms = play.now_ms;
     let known = play.upstreams.get_mut(&id("i-1")).unwrap();
-    known.note_ask_failed(now_ms, AskFailure::Unreachable);
+    known.note_ask_failed(now_ms, ProbeFailure::Unreachable);
 })]
 fn an_idle_upstream_that_is_no_good_draws_nothing_while_others_are_full(
     #[case] spoil: fn(&mut Play),
@@ -340,7 +345,7 @@
         let now_ms = play.now_ms;
         let known = play.upstreams.get_mut(&id(upstream)).unwrap();
         known.note_sent(Millis::ZERO);
-        known.note_ended(now_ms, Some(SendFailure::ErrorAnswer));
+        known.note_ended(now_ms, Some(AttemptFailure::ErrorResponse));
     }
 }
 
--- a/crates/dispatch/tests/support/rate_site.rs
+++ b/crates/dispatch/tests/support/rate_site.rs
@@ -9,7 +9,7 @@
 use dispatch::scheduler::{
     Asker, Cell, Directory, Effect, Outcome, PlacementMessage, Submission, Ticket, Withdrawal,
 };
-use dispatch::{LoadReport, Reach, SendFailure};
+use dispatch::{AttemptFailure, LoadReport, Reach};
 use domain::{FastMap, FastSet, Millis, ServiceName, Slots, UpstreamId, ZoneName};
 use host::{Host, asker, cold, known_fleet};
 use published::{Member, RunStart};
@@ -346,7 +346,7 @@
             Event::Done { upstream, host, placed } => {
                 *self.running.entry(upstream.clone()).or_default() -= 1;
                 let backpressure = self.said(&upstream);
-                let failure = self.refuses(&upstream).then_some(SendFailure::Shed);
+                let failure = self.refuses(&upstream).then_some(AttemptFailure::Shed);
                 let took_ms =
                     Millis(if failure.is_some() { REFUSED_MS } else { self.site.work_ms });
                 let outcome = Outcome { failure, took_ms, report: None, backpressure };
--- a/crates/emulator/src/play.rs
+++ b/crates/emulator/src/play.rs
@@ -266,7 +266,7 @@
             self.expect(upstream);
             return;
         }
-        self.note_end(request, Some(dispatch::SendFailure::Shed));
+        self.note_end(request, Some(dispatch::AttemptFailure::Shed));
         self.refuse(request, USUAL_AWAY_MS);
     }
 
@@ -345,7 +345,7 @@
         }
         self.figures.timed_out += 1;
         if let State::At { upstream, .. } = state {
-            self.note_end(request, Some(dispatch::SendFailure::Silent));
+            self.note_end(request, Some(dispatch::AttemptFailure::TimedOut));
             self.upstreams[upstream].drop_request(self.now_ms, request);
             self.expect(upstream);
         }
--- a/crates/emulator/src/play/scheduled.rs
+++ b/crates/emulator/src/play/scheduled.rs
@@ -7,7 +7,7 @@
     Asker, Cell, Effect, Outcome, PlacementMessage, RefusalCause, SchedulerSet, Submission, Ticket,
     Withdrawal,
 };
-use dispatch::{LoadReport, SendFailure, UpstreamSet};
+use dispatch::{AttemptFailure, LoadReport, UpstreamSet};
 use domain::{Millis, Slots, UpstreamId, ZoneName};
 use published::{Entry, Evacuations, Revision, RunStart, Upstream, UpstreamMode};
 use rand::{RngExt, SeedableRng};
@@ -197,7 +197,7 @@
     }
 
     /// Tells the scheduler how a request that it placed ended.
-    pub(super) fn note_end(&mut self, request: usize, failure: Option<SendFailure>) {
+    pub(super) fn note_end(&mut self, request: usize, failure: Option<AttemptFailure>) {
         let taken = &self.requests[request];
         let State::At { upstream, sent_ms, is_placed: true } = taken.state else { return };
         let mut report = self.upstreams[upstream].report();
--- a/crates/gateway/src/ask/question.rs
+++ b/crates/gateway/src/ask/question.rs
@@ -6,7 +6,7 @@
 use crate::host::Host;
 use crate::http1::HeadFields;
 use dispatch::backpressure::AnswerKind;
-use dispatch::{AskFailure, LoadReport};
+use dispatch::{LoadReport, ProbeFailure};
 use domain::{Millis, ServiceName, UpstreamId};
 use published::RunStart;
 use std::rc::Rc;
@@ -34,14 +34,14 @@
     let Some(known) = upstreams.get_run_mut(upstream, run) else { return };
     match is_well {
         true => known.note_asked(),
-        false => known.note_ask_failed(now_ms, AskFailure::Unwell),
+        false => known.note_ask_failed(now_ms, ProbeFailure::Unwell),
     }
 }
 
 pub(super) fn note_failure(
     host: &Host,
     (upstream, run): (&UpstreamId, RunStart),
-    failure: AskFailure,
+    failure: ProbeFailure,
 ) {
     let now_ms = host.now_ms();
     if let Some(known) = host.upstreams.borrow_mut().get_run_mut(upstream, run) {
@@ -86,7 +86,7 @@
     let run = host.upstreams.borrow().run(upstream);
     let asking = question(host, service, (upstream, run));
     let result = clock::timeout(ASK_LIMIT, asking).await;
-    match result.unwrap_or(Err(AskFailure::Silent)) {
+    match result.unwrap_or(Err(ProbeFailure::TimedOut)) {
         Ok(Reply { connection, is_well }) => {
             note_reply(host, (upstream, run), is_well);
             Some((connection, is_well))
@@ -107,14 +107,14 @@
     host: &Rc<Host>,
     service: &ServiceName,
     (upstream, run): (&UpstreamId, RunStart),
-) -> Result<Reply, AskFailure> {
+) -> Result<Reply, ProbeFailure> {
     let path = health_path(host, service);
     let kept = host.pool.borrow_mut().take(upstream, run);
     if let Some(mut connection) = kept {
         match exchange(host, &mut connection, (upstream, run), &path).await {
             Ok(is_well) => return Ok(Reply { connection, is_well }),
             // A kept connection may have been forgotten; a question is harmless to repeat.
-            Err(AskFailure::Unreachable) => {}
+            Err(ProbeFailure::Unreachable) => {}
             Err(failure) => return Err(failure),
         }
     }
@@ -124,12 +124,15 @@
 }
 
 /// Opens a connection to an upstream.
-pub(super) async fn open(host: &Rc<Host>, upstream: &UpstreamId) -> Result<Connection, AskFailure> {
+pub(super) async fn open(
+    host: &Rc<Host>,
+    upstream: &UpstreamId,
+) -> Result<Connection, ProbeFailure> {
     let entry = host.upstreams.borrow().get(upstream).map(|known| Arc::clone(&known.entry));
-    let entry = entry.ok_or(AskFailure::Unreachable)?;
+    let entry = entry.ok_or(ProbeFailure::Unreachable)?;
     host.metrics.connected();
     let connection = Connection::open(entry.address, CONNECT).await;
-    connection.map(|open| open.belonging_to(entry.run)).map_err(|_| AskFailure::Unreachable)
+    connection.map(|open| open.belonging_to(entry.run)).map_err(|_| ProbeFailure::Unreachable)
 }
 
 pub(super) fn health_path(host: &Host, service: &ServiceName) -> String {
@@ -143,17 +146,17 @@
     connection: &mut Connection,
     (upstream, run): (&UpstreamId, RunStart),
     path: &str,
-) -> Result<bool, AskFailure> {
+) -> Result<bool, ProbeFailure> {
     host.metrics.asked();
     let request = format!("GET {path} HTTP/1.1\r\nhost: upstream\r\n\r\n");
     let id = Some((host.dialect.request_id, ""));
     let expected = Expected { has_body: true, id, silence: None };
     let answer = connection.exchange(request.as_bytes(), expected).await;
-    let answer = answer.map_err(|_| AskFailure::Unreachable)?;
+    let answer = answer.map_err(|_| ProbeFailure::Unreachable)?;
     host.note_unread(upstream, &answer.head.fields, AnswerTo::HealthCheck);
     let is_other = |id: &str| id != upstream.as_str();
     if answer.head.fields.get(host.dialect.upstream).is_some_and(is_other) {
-        return Err(AskFailure::OtherUpstream);
+        return Err(ProbeFailure::OtherUpstream);
     }
     if let Some(report) = read_load(host, &answer.head.fields) {
         note_report(host, (upstream, run), report);
--- a/crates/gateway/src/event_log/event.rs
+++ b/crates/gateway/src/event_log/event.rs
@@ -4,7 +4,7 @@
 use dispatch::backpressure::LimitChange;
 use dispatch::quarantine::Change;
 use dispatch::scheduler::{Cell, Ticket};
-use dispatch::{AskFailure, SendFailure, Verdict, Warmth};
+use dispatch::{AttemptFailure, ProbeFailure, Verdict, Warmth};
 use domain::{
     HostId, Incarnation, Millis, RequestFingerprint, ServiceName, UpstreamId, Version, ZoneName,
 };
@@ -129,14 +129,14 @@
     /// An upstream answered, with a mark that nothing here reads.
     MarkUnread { upstream: &'a UpstreamId, on: AnswerTo, mark: &'a str, value: &'a str },
     /// Asking an upstream failed.
-    AskFailed { upstream: &'a UpstreamId, failure: AskFailure },
+    AskFailed { upstream: &'a UpstreamId, failure: ProbeFailure },
     /// A request left for an upstream.
     Sent { id: &'a str, upstream: &'a UpstreamId, sending: u32, left_ms: Millis },
     /// A sending failed.
     SendFailed {
         id: &'a str,
         upstream: &'a UpstreamId,
-        failure: SendFailure,
+        failure: AttemptFailure,
         after_ms: Millis,
         status: Option<u16>,
         is_not_run: bool,
--- a/crates/gateway/src/serve/in_progress.rs
+++ b/crates/gateway/src/serve/in_progress.rs
@@ -4,7 +4,7 @@
 use crate::backpressure;
 use crate::host::Host;
 use crate::placing::PlacementGuard;
-use dispatch::SendFailure;
+use dispatch::AttemptFailure;
 use dispatch::backpressure::Backpressure;
 use dispatch::scheduler::Outcome;
 use domain::{Millis, ServiceName, UpstreamId};
@@ -109,7 +109,7 @@
     fn withdraw(&mut self) {
         let took_ms = self.host.now_ms().since(self.begun_ms);
         if took_ms > SILENT_MS {
-            let failure = Some(SendFailure::Silent);
+            let failure = Some(AttemptFailure::TimedOut);
             let outcome =
                 Outcome { failure, took_ms, report: None, backpressure: Backpressure::default() };
             if self.is_noted_here() {
--- a/crates/gateway/src/serve/settling.rs
+++ b/crates/gateway/src/serve/settling.rs
@@ -5,7 +5,7 @@
 use crate::connection::Answer;
 use crate::event_log::LogEvent;
 use crate::host::duration;
-use dispatch::SendFailure;
+use dispatch::AttemptFailure;
 use dispatch::attempts::{self, AttemptState, Cause, End, Next, Refusal};
 use domain::{Millis, UpstreamId};
 
@@ -112,13 +112,13 @@
     matches!(end, End::Answered(answered) if attempts::is_own_failure(answered))
 }
 
-pub(super) fn failure_of(end: End) -> Option<SendFailure> {
+pub(super) fn failure_of(end: End) -> Option<AttemptFailure> {
     match end {
-        End::Answered(answered) if answered.not_run => Some(SendFailure::Shed),
+        End::Answered(answered) if answered.not_run => Some(AttemptFailure::Shed),
         End::Answered(answered) if answered.status >= 500 || !answered.is_sealed => {
-            Some(SendFailure::ErrorAnswer)
+            Some(AttemptFailure::ErrorResponse)
         }
         End::Answered(_) => None,
-        End::NotSent | End::Broken => Some(SendFailure::Broken),
+        End::NotSent | End::Broken => Some(AttemptFailure::Disconnected),
     }
 }
--- a/crates/gateway/tests/datagram_bytes.rs
+++ b/crates/gateway/tests/datagram_bytes.rs
@@ -7,7 +7,7 @@
 use dispatch::scheduler::{
     Cell, Outcome, Place, PlacementMessage, RefusalCause, Submission, Ticket, Withdrawal,
 };
-use dispatch::{LoadReport, SendFailure};
+use dispatch::{AttemptFailure, LoadReport};
 use domain::{
     ByteCount, Connections, Incarnation, Millis, PerSecond, RequestFingerprint, Slots, UpstreamId,
     Version,
@@ -428,7 +428,7 @@
     }
 }
 
-fn failed(failure: SendFailure) -> Outcome {
+fn failed(failure: AttemptFailure) -> Outcome {
     Outcome {
         failure: Some(failure),
         took_ms: Millis(180),
@@ -464,10 +464,13 @@
 )]
 #[case::no_upstream(refused(RefusalCause::NoUpstream), "060103c0a8a50401")]
 #[case::served(ended(served()), "060104c0a8a50400b4010105c801068c01010000000000001e4001d00f01")]
-#[case::error_answer(ended(failed(SendFailure::ErrorAnswer)), "060104c0a8a5040100b40100000000")]
-#[case::shed(ended(failed(SendFailure::Shed)), "060104c0a8a5040101b40100000000")]
-#[case::broken(ended(failed(SendFailure::Broken)), "060104c0a8a5040102b40100000000")]
-#[case::silent(ended(failed(SendFailure::Silent)), "060104c0a8a5040103b40100000000")]
+#[case::error_answer(
+    ended(failed(AttemptFailure::ErrorResponse)),
+    "060104c0a8a5040100b40100000000"
+)]
+#[case::shed(ended(failed(AttemptFailure::Shed)), "060104c0a8a5040101b40100000000")]
+#[case::broken(ended(failed(AttemptFailure::Disconnected)), "060104c0a8a5040102b40100000000")]
+#[case::silent(ended(failed(AttemptFailure::TimedOut)), "060104c0a8a5040103b40100000000")]
 #[case::not_sent(withdrawn(Withdrawal::NotSent), "060105c0a8a50400")]
 #[case::unreachable(withdrawn(Withdrawal::Unreachable), "060105c0a8a50401")]
 #[case::sent(withdrawn(Withdrawal::Sent), "060105c0a8a50402")]
