--- a/crates/dispatch/src/asking.rs
+++ b/crates/dispatch/src/asking.rs
@@ -1,6 +1,6 @@
 //! Whom a host asks by itself, and when it stops asking.
 
-use crate::upstream_set::Reach;
+use crate::upstream_set::ZoneScope;
 
 /// Upstreams that are asked at once before a request is sent. With three the credit of a
 /// quiet day is 0.97; a fourth gained nothing, random choice earned 0.62 to 0.70.
@@ -13,8 +13,10 @@
 pub const AT_ONCE: f64 = 1.2;
 
 /// How many are asked in each round: the own zone, then mostly others.
-pub const ROUNDS: [&[(usize, Reach)]; 2] =
-    [&[(ASKED_AT_ONCE, Reach::Near)], &[(ASKED_AT_ONCE - 1, Reach::Far), (1, Reach::Near)]];
+pub const ROUNDS: [&[(usize, ZoneScope)]; 2] = [
+    &[(ASKED_AT_ONCE, ZoneScope::Local)],
+    &[(ASKED_AT_ONCE - 1, ZoneScope::Other), (1, ZoneScope::Local)],
+];
 
 /// What makes an upstream that says it is unwell the last resort: its word may be false.
 pub const UNWELL_COST: f64 = 50.0;
--- a/crates/dispatch/src/backpressure.rs
+++ b/crates/dispatch/src/backpressure.rs
@@ -167,13 +167,18 @@
     }
 
     /// How much longer this host leaves a run of an upstream alone, as it was asked to.
-    pub fn backs_off(&self, now_ms: Millis, id: &UpstreamId, run: RunStart) -> Option<Millis> {
+    pub fn remaining_backoff(
+        &self,
+        now_ms: Millis,
+        id: &UpstreamId,
+        run: RunStart,
+    ) -> Option<Millis> {
         let stated = self.of(id, run)?;
         (now_ms < stated.backoff_until_ms).then(|| stated.backoff_until_ms.since(now_ms))
     }
 
     /// Upstreams that this host leaves alone, as they asked it to.
-    pub fn backing_off(&self, now_ms: Millis) -> impl Iterator<Item = &UpstreamId> {
+    pub fn upstreams_in_backoff(&self, now_ms: Millis) -> impl Iterator<Item = &UpstreamId> {
         let in_force = move |(_, stated): &(&UpstreamId, &Stated)| now_ms < stated.backoff_until_ms;
         self.stated.iter().filter(in_force).map(|(id, _)| id)
     }
--- a/crates/dispatch/src/choice.rs
+++ b/crates/dispatch/src/choice.rs
@@ -8,7 +8,7 @@
 use crate::curve::SpeedCurve;
 use crate::load::LEAST_SLOWNESS;
 use crate::service_load::ServiceLoad;
-use crate::upstream::Known;
+use crate::upstream::UpstreamState;
 use domain::{Millis, UpstreamId};
 
 /// What another availability zone adds: its bytes are paid for, and the way is longer. With 0.35
@@ -47,9 +47,9 @@
 }
 
 /// Weighs an upstream for a request that would be sent now.
-pub fn weigh(known: &Known, by: Weighing<'_>) -> Candidate {
+pub fn weigh(known: &UpstreamState, by: Weighing<'_>) -> Candidate {
     let slots = f64::from(known.entry.slots.0.max(1));
-    let running = known.occupied(by.now_ms, by.load) + 1.0;
+    let running = known.estimated_requests(by.now_ms, by.load) + 1.0;
     let wait = ((running - slots) / slots).max(0.0);
     let cold = match known.warmth(by.now_ms) {
         Warmth::Warm => 1.0,
@@ -58,7 +58,7 @@
     let slow = known.slowness(by.now_ms, by.load).max(LEAST_SLOWNESS) * cold;
     let work = slow * (1.0 / by.curve.speed(running) + wait);
     let used = slow * USED_WEIGHT * (running / slots).min(1.0);
-    let failing = 1.0 + FAILURE_WEIGHT * known.failure_share(by.now_ms);
+    let failing = 1.0 + FAILURE_WEIGHT * known.failure_rate(by.now_ms);
     let other_zone = if by.is_other_zone { OTHER_ZONE } else { 0.0 };
     Candidate { upstream: known.entry.id.clone(), work, cost: (work + used) * failing + other_zone }
 }
--- a/crates/dispatch/src/fleet_rate/sharing.rs
+++ b/crates/dispatch/src/fleet_rate/sharing.rs
@@ -76,7 +76,7 @@
             let share = self.share(now_ms, upstreams, id, hosts);
             self.budget.has_one(now_ms, id, limit, share)
         };
-        upstreams.backs_off(now_ms, id).is_none()
+        upstreams.remaining_backoff(now_ms, id).is_none()
             && upstreams.fleet_rate(now_ms, id).map(by_itself).is_none_or(has_one)
     }
 
@@ -88,7 +88,7 @@
         service: &ServiceName,
         hosts: u32,
     ) -> Vec<UpstreamId> {
-        if !upstreams.may_hold_back(service) {
+        if !upstreams.may_limit(service) {
             return Vec::new();
         }
         let is_held_back = |id: &&UpstreamId| !self.may_send(now_ms, upstreams, id, hosts);
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -39,5 +39,5 @@
 pub use service_load::ServiceLoad;
 pub use split::SplitTable;
 pub use subset::{ALL, FAR, FleetShape, NEAR, Subset};
-pub use upstream::{AttemptFailure, Known, ProbeFailure};
-pub use upstream_set::{Reach, UpstreamSet};
+pub use upstream::{AttemptFailure, ProbeFailure, UpstreamState};
+pub use upstream_set::{UpstreamSet, ZoneScope};
--- a/crates/dispatch/src/scheduler.rs
+++ b/crates/dispatch/src/scheduler.rs
@@ -128,9 +128,9 @@
         self.waiting.retain(|job| job.key != key);
         let placed = self.placed.take(now_ms, key)?;
         if let Some(known) = upstreams.get_run_mut(&placed.upstream, placed.run) {
-            known.note_withdrawn();
+            known.record_withdrawn();
             if how == Withdrawal::Unreachable {
-                known.note_ask_failed(now_ms, ProbeFailure::Unreachable);
+                known.record_probe_failure(now_ms, ProbeFailure::Unreachable);
             }
         }
         Some(placed.upstream)
@@ -141,12 +141,12 @@
         let Some(placed) = self.placed.take(now_ms, key) else { return };
         // Before the end: the load that an answer tells counts the request that is answered.
         if let Some(report) = outcome.report {
-            upstreams.note_report(now_ms, (&placed.upstream, placed.run), report);
+            upstreams.record_report(now_ms, (&placed.upstream, placed.run), report);
         }
         let at = (&placed.upstream, placed.run);
         upstreams.hear_backpressure(now_ms, at, outcome.answer_kind(), outcome.backpressure);
         let Some(known) = upstreams.get_run_mut(&placed.upstream, placed.run) else { return };
-        known.note_ended(now_ms, outcome.failure);
+        known.record_ended(now_ms, outcome.failure);
         let tells_load = known.report(now_ms).is_some();
         if outcome.failure.is_none() {
             self.learn(placed, outcome, tells_load, upstreams);
@@ -238,8 +238,8 @@
     ) -> Option<Effect> {
         let best = upstreams.curve(&candidate.upstream)?.best();
         let known = upstreams.get_mut(&candidate.upstream)?;
-        known.note_sent(now_ms);
-        match known.open() > best {
+        known.record_sent(now_ms);
+        match known.in_flight() > best {
             true => self.waited_since_trial = 0,
             false if job.has_waited(now_ms) => {
                 self.waited_since_trial = self.waited_since_trial.saturating_add(1);
--- a/crates/dispatch/src/scheduler/cell.rs
+++ b/crates/dispatch/src/scheduler/cell.rs
@@ -33,7 +33,7 @@
         let is_divided = upstreams.of_service(service).len() > ALL;
         let zone = match is_divided {
             false => None,
-            true if upstreams.takes_work_in(service, zone) => Some(zone.clone()),
+            true if upstreams.accepts_requests_in(service, zone) => Some(zone.clone()),
             true => upstreams.draw_other_zone(service, zone, rng),
         };
         Cell { service: service.clone(), zone }
--- a/crates/dispatch/src/scheduler/decision.rs
+++ b/crates/dispatch/src/scheduler/decision.rs
@@ -164,7 +164,7 @@
         let (known, curve) = (upstreams.get(id)?, upstreams.curve(id)?);
         let slots = known.entry.slots.0.max(1);
         let most = curve.best().saturating_add(beyond).min(slots);
-        if known.open() >= most {
+        if known.in_flight() >= most {
             return None;
         }
         let fleet_rate = upstreams.fleet_rate(now_ms, id);
@@ -180,7 +180,7 @@
         let is_fresh = just_told(known, now_ms).is_some();
         // Others are not this scheduler's to hold back: what they leave is used. Half a
         // request of theirs may be nothing but what is remembered.
-        let occupied = known.occupied(now_ms, upstreams.load(&self.cell.service));
+        let occupied = known.estimated_requests(now_ms, upstreams.load(&self.cell.service));
         let has_room = may_place && occupied + 0.5 <= f64::from(slots);
         Some(Offer { rank: candidate.cost, candidate, is_fresh, may_place, has_room })
     }
--- a/crates/dispatch/src/scheduler/forecast.rs
+++ b/crates/dispatch/src/scheduler/forecast.rs
@@ -118,15 +118,15 @@
 fn sound_upstreams(now_ms: Millis, cell: &Cell, upstreams: &UpstreamSet) -> Vec<UpstreamId> {
     let is_in_cell = |id: &&UpstreamId| {
         let is_held = upstreams.get(id).is_some_and(|known| cell.holds(&known.entry));
-        is_held && upstreams.takes_work(id)
+        is_held && upstreams.accepts_requests(id)
     };
     let all: Vec<&UpstreamId> =
         upstreams.of_service(&cell.service).iter().filter(is_in_cell).collect();
     let failing =
-        |id: &UpstreamId| upstreams.get(id).map_or(0.0, |known| known.failure_share(now_ms));
+        |id: &UpstreamId| upstreams.get(id).map_or(0.0, |known| known.failure_rate(now_ms));
     let mean = all.iter().map(|id| failing(id)).sum::<f64>() / all.len().max(1) as f64;
     let is_sound = |id: &&UpstreamId| {
-        let is_avoided = upstreams.get(id).is_some_and(|known| known.is_avoided(now_ms));
+        let is_avoided = upstreams.get(id).is_some_and(|known| known.is_excluded(now_ms));
         !is_avoided && failing(id) - mean < FAILS_MORE
     };
     let sound: Vec<UpstreamId> = all.iter().copied().filter(is_sound).cloned().collect();
--- a/crates/dispatch/src/scheduler/freshness.rs
+++ b/crates/dispatch/src/scheduler/freshness.rs
@@ -1,7 +1,7 @@
 //! What upstreams told just now.
 
 use crate::LoadReport;
-use crate::upstream::Known;
+use crate::upstream::UpstreamState;
 use domain::Millis;
 
 /// A report of this age is as good as asking: the load of upstreams shifts within 300 to
@@ -9,7 +9,7 @@
 const FRESH_MS: Millis = Millis(25);
 
 /// What an upstream told just now.
-pub(super) fn just_told(known: &Known, now_ms: Millis) -> Option<LoadReport> {
+pub(super) fn just_told(known: &UpstreamState, now_ms: Millis) -> Option<LoadReport> {
     let report = known.report(now_ms).filter(|(_, age_ms)| *age_ms <= FRESH_MS);
     report.map(|(report, _)| report)
 }
--- a/crates/dispatch/src/scheduler/placed.rs
+++ b/crates/dispatch/src/scheduler/placed.rs
@@ -5,7 +5,7 @@
 use crate::choice::Candidate;
 use crate::cold::Warmth;
 use crate::curve::Occupancy;
-use crate::upstream::Known;
+use crate::upstream::UpstreamState;
 use domain::{FastMap, Millis, UpstreamId};
 use published::RunStart;
 
@@ -49,9 +49,15 @@
     }
 
     /// A request goes to an upstream, which counts it as open already.
-    pub(super) fn add(&mut self, now_ms: Millis, job: &Job, candidate: &Candidate, known: &Known) {
+    pub(super) fn add(
+        &mut self,
+        now_ms: Millis,
+        job: &Job,
+        candidate: &Candidate,
+        known: &UpstreamState,
+    ) {
         let at = (&candidate.upstream, known.entry.run);
-        self.note_time(now_ms, at, known.open() - 1);
+        self.note_time(now_ms, at, known.in_flight() - 1);
         let placed = Placed {
             upstream: candidate.upstream.clone(),
             run: known.entry.run,
@@ -60,7 +66,7 @@
             slowness: just_told(known, now_ms)
                 .filter(|_| known.warmth(now_ms) == Warmth::Warm)
                 .map(|report| report.slowness()),
-            spent: Occupancy::new(known.open()),
+            spent: Occupancy::new(known.in_flight()),
             noted_ms: now_ms,
             forget_ms: job.end_ms + FORGET_AFTER_MS,
         };
--- a/crates/dispatch/src/scheduler/rate_placing.rs
+++ b/crates/dispatch/src/scheduler/rate_placing.rs
@@ -4,7 +4,7 @@
 use super::{Asker, Cell};
 use crate::fleet_rate::{Lenders, Lent, RateBudget};
 use crate::subset::FleetShape;
-use crate::upstream::Known;
+use crate::upstream::UpstreamState;
 use crate::upstream_set::UpstreamSet;
 use domain::{HostId, Millis, UpstreamId};
 
@@ -60,11 +60,11 @@
 }
 
 /// The part of the fleet's rate that may be spent on an upstream.
-pub(super) fn rate_share(known: &Known, now_ms: Millis, lent: Lent) -> f64 {
-    lent.spendable(just_told(known, now_ms).is_some() && known.others() < 0.5)
+pub(super) fn rate_share(known: &UpstreamState, now_ms: Millis, lent: Lent) -> f64 {
+    lent.spendable(just_told(known, now_ms).is_some() && known.other_requests() < 0.5)
 }
 
 /// The same, if it turns out to have no requests of others where that was not told just now.
-pub(super) fn hoped_share(known: &Known, now_ms: Millis, lent: Lent) -> f64 {
-    lent.spendable(just_told(known, now_ms).is_none() || known.others() < 0.5)
+pub(super) fn hoped_share(known: &UpstreamState, now_ms: Millis, lent: Lent) -> f64 {
+    lent.spendable(just_told(known, now_ms).is_none() || known.other_requests() < 0.5)
 }
--- a/crates/dispatch/src/service.rs
+++ b/crates/dispatch/src/service.rs
@@ -76,8 +76,8 @@
         self.curves.iter().find(|curve| curve.slots() == slots)
     }
 
-    pub(crate) fn note_report(&mut self, report: &LoadReport, open: u32) {
-        self.load.note(report, open);
+    pub(crate) fn record_report(&mut self, report: &LoadReport, in_flight: u32) {
+        self.load.note(report, in_flight);
     }
 
     /// An answer took so long where so much work was expected, and nothing else is known.
--- a/crates/dispatch/src/subset.rs
+++ b/crates/dispatch/src/subset.rs
@@ -6,7 +6,7 @@
 //! availability zone first, chosen by rendezvous hashing: hosts that come or go move few,
 //! and an upstream that joins is in the subsets of some hosts at once.
 
-use crate::upstream::Known;
+use crate::upstream::UpstreamState;
 use domain::{FastMap, FastSet, HostId, UpstreamId, ZoneName};
 use published::{Eligibility, Preferred, preferred};
 
@@ -47,10 +47,10 @@
         host: &HostId,
         zone: &ZoneName,
         upstreams: &[UpstreamId],
-        known: &FastMap<UpstreamId, Known>,
+        known: &FastMap<UpstreamId, UpstreamState>,
     ) -> Subset {
         // What is evacuated would take the place of what can be used.
-        let is_usable = |known: &&Known| known.eligibility != Eligibility::ZoneEvacuated;
+        let is_usable = |known: &&UpstreamState| known.eligibility != Eligibility::ZoneEvacuated;
         let usable = || upstreams.iter().filter_map(|id| known.get(id)).filter(is_usable);
         let entries = || usable().map(|known| &*known.entry);
         let usable_upstreams = usable().count();
--- a/crates/dispatch/src/upstream.rs
+++ b/crates/dispatch/src/upstream.rs
@@ -64,45 +64,45 @@
 
 /// What is known of an upstream.
 #[derive(Debug)]
-pub struct Known {
+pub struct UpstreamState {
     /// Its entry.
     pub entry: Arc<Upstream>,
     /// Whether it may get new requests.
     pub eligibility: Eligibility,
     revision: Revision,
     /// When it was first published, as far as this host knows.
-    joined_ms: Millis,
+    first_seen_ms: Millis,
     cold: ToldCold,
     report: Option<(LoadReport, Millis)>,
     /// Requests that the report told beyond those that were known.
-    others: f64,
-    open: u32,
+    other_requests: f64,
+    in_flight: u32,
     sent: Fading,
     failed: Fading,
     ended: Fading,
     unreached: u32,
-    avoid_until_ms: Millis,
+    excluded_until_ms: Millis,
 }
 
-impl Known {
+impl UpstreamState {
     /// An upstream that has just been published.
-    pub fn new(entry: &Entry<Arc<Upstream>>, now_ms: Millis) -> Known {
+    pub fn new(entry: &Entry<Arc<Upstream>>, now_ms: Millis) -> UpstreamState {
         let mut cold = ToldCold::default();
         cold.note_entry(now_ms, entry.value.warmup_left_ms);
-        Known {
+        UpstreamState {
             entry: Arc::clone(&entry.value),
             eligibility: Eligibility::Eligible,
             revision: entry.revision,
-            joined_ms: now_ms,
+            first_seen_ms: now_ms,
             cold,
             report: None,
-            others: 0.0,
-            open: 0,
+            other_requests: 0.0,
+            in_flight: 0,
             sent: Fading::new(SENT_FADE_MS),
             failed: Fading::new(FAILURE_FADE_MS),
             ended: Fading::new(FAILURE_FADE_MS),
             unreached: 0,
-            avoid_until_ms: Millis::ZERO,
+            excluded_until_ms: Millis::ZERO,
         }
     }
 
@@ -117,30 +117,30 @@
     }
 
     /// Requests that it has in progress, of this host or placed by it.
-    pub fn open(&self) -> u32 {
-        self.open
+    pub fn in_flight(&self) -> u32 {
+        self.in_flight
     }
 
     /// Requests of others there, as it last told.
-    pub(crate) fn others(&self) -> f64 {
-        self.others
+    pub(crate) fn other_requests(&self) -> f64 {
+        self.other_requests
     }
 
     /// Whether it is left alone for now.
-    pub fn is_avoided(&self, now_ms: Millis) -> bool {
-        now_ms < self.avoid_until_ms
+    pub fn is_excluded(&self, now_ms: Millis) -> bool {
+        now_ms < self.excluded_until_ms
     }
 
     /// Part of its requests that failed of late, 0 to 1.
     ///
     /// One answer's worth of good faith keeps a single failure from counting as all.
-    pub fn failure_share(&self, now_ms: Millis) -> f64 {
+    pub fn failure_rate(&self, now_ms: Millis) -> f64 {
         self.failed.at(now_ms) / (self.ended.at(now_ms) + 1.0)
     }
 
     /// When it was first published, as far as this host knows.
-    pub(crate) fn joined_ms(&self) -> Millis {
-        self.joined_ms
+    pub(crate) fn first_seen_ms(&self) -> Millis {
+        self.first_seen_ms
     }
 
     /// Whether it is cold, as far as that is known.
@@ -154,7 +154,7 @@
     }
 
     /// Takes its entry as it is published now.
-    pub(crate) fn note_entry(
+    pub(crate) fn apply_entry(
         &mut self,
         now_ms: Millis,
         entry: &Entry<Arc<Upstream>>,
@@ -164,7 +164,7 @@
             self.cold.note_entry(now_ms, entry.value.warmup_left_ms);
             // It has just written its entry anew, so it is there.
             self.unreached = 0;
-            self.avoid_until_ms = Millis::ZERO;
+            self.excluded_until_ms = Millis::ZERO;
         }
         if self.eligibility == Eligibility::ZoneEvacuated && eligibility != self.eligibility {
             self.cold.note_away(now_ms);
@@ -176,7 +176,7 @@
 
     /// It answered a health check, and told how much longer it stays cold if it is of those that
     /// tell.
-    pub(crate) fn note_cold(&mut self, now_ms: Millis, left_ms: Option<Millis>) {
+    pub(crate) fn record_warmup_left(&mut self, now_ms: Millis, left_ms: Option<Millis>) {
         self.cold.note_answer(now_ms, left_ms);
     }
 
@@ -188,29 +188,29 @@
     }
 
     /// Requests running and waiting there: those that are known, and others as far as it told.
-    pub fn occupied(&self, now_ms: Millis, service: ServiceLoad) -> f64 {
-        let open = f64::from(self.open);
+    pub fn estimated_requests(&self, now_ms: Millis, service: ServiceLoad) -> f64 {
+        let in_flight = f64::from(self.in_flight);
         let usual = service.others * f64::from(self.entry.slots.0);
-        let Some((_, age_ms)) = self.report(now_ms) else { return usual + open };
-        usual + (self.others - usual) * known_part(age_ms) + open
+        let Some((_, age_ms)) = self.report(now_ms) else { return usual + in_flight };
+        usual + (self.other_requests - usual) * known_part(age_ms) + in_flight
     }
 
     /// It told its load.
-    pub fn note_report(&mut self, now_ms: Millis, report: LoadReport) {
+    pub fn record_report(&mut self, now_ms: Millis, report: LoadReport) {
         self.report = Some((report, now_ms));
-        self.others = told_others(&report, self.open);
+        self.other_requests = told_others(&report, self.in_flight);
     }
 
     /// It answered when asked.
-    pub fn note_asked(&mut self) {
+    pub fn record_probe_success(&mut self) {
         self.unreached = 0;
-        self.avoid_until_ms = Millis::ZERO;
+        self.excluded_until_ms = Millis::ZERO;
     }
 
     /// Asking it failed.
-    pub fn note_ask_failed(&mut self, now_ms: Millis, failure: ProbeFailure) {
+    pub fn record_probe_failure(&mut self, now_ms: Millis, failure: ProbeFailure) {
         match failure {
-            ProbeFailure::OtherUpstream => self.avoid_until_ms = now_ms + Millis(MAX_AVOID_MS),
+            ProbeFailure::OtherUpstream => self.excluded_until_ms = now_ms + Millis(MAX_AVOID_MS),
             ProbeFailure::Unreachable | ProbeFailure::Unwell | ProbeFailure::TimedOut => {
                 // It may have been down, and is cold when it is back.
                 if failure != ProbeFailure::Unwell {
@@ -218,25 +218,25 @@
                 }
                 self.unreached = self.unreached.saturating_add(1);
                 let doubled = FIRST_AVOID_MS << (self.unreached - 1).min(8);
-                self.avoid_until_ms = now_ms + Millis(doubled.min(MAX_AVOID_MS));
+                self.excluded_until_ms = now_ms + Millis(doubled.min(MAX_AVOID_MS));
             }
         }
     }
 
     /// A request leaves for it.
-    pub fn note_sent(&mut self, now_ms: Millis) {
-        self.open += 1;
+    pub fn record_sent(&mut self, now_ms: Millis) {
+        self.in_flight += 1;
         self.sent.add(now_ms, 1.0);
     }
 
     /// Requests that left for it within about a second, of this host or placed by it.
-    pub(crate) fn sent_lately(&self, now_ms: Millis) -> f64 {
+    pub(crate) fn recently_sent(&self, now_ms: Millis) -> f64 {
         self.sent.at(now_ms)
     }
 
     /// A request sent to it came to its end.
-    pub fn note_ended(&mut self, now_ms: Millis, failure: Option<AttemptFailure>) {
-        self.open = self.open.saturating_sub(1);
+    pub fn record_ended(&mut self, now_ms: Millis, failure: Option<AttemptFailure>) {
+        self.in_flight = self.in_flight.saturating_sub(1);
         self.ended.add(now_ms, 1.0);
         match failure {
             Some(
@@ -252,8 +252,8 @@
     }
 
     /// A request sent to it was withdrawn: nothing is learned.
-    pub fn note_withdrawn(&mut self) {
-        self.open = self.open.saturating_sub(1);
+    pub fn record_withdrawn(&mut self) {
+        self.in_flight = self.in_flight.saturating_sub(1);
     }
 }
 
--- a/crates/dispatch/src/upstream_set.rs
+++ b/crates/dispatch/src/upstream_set.rs
@@ -1,11 +1,11 @@
 //! All upstreams, by service.
 //!
-//! What they take is [`held_back`]'s matter, whom a host asks [`to_ask`]'s.
+//! What they take is [`limits`]'s matter, whom a host asks [`probe_targets`]'s.
 
-mod held_back;
-mod to_ask;
+mod limits;
+mod probe_targets;
 
-pub use to_ask::Reach;
+pub use probe_targets::ZoneScope;
 
 use crate::LoadReport;
 use crate::backpressure::BackpressureSet;
@@ -15,9 +15,9 @@
 use crate::service::{Run, Service};
 use crate::service_load::ServiceLoad;
 use crate::subset::{FleetShape, Subset};
-use crate::upstream::Known;
+use crate::upstream::UpstreamState;
 use domain::{FastMap, HostId, Millis, ServiceName, UpstreamId, ZoneName};
-use held_back::eligibility;
+use limits::eligibility;
 use published::{Eligibility, Entry, Evacuations, RunStart, ServiceSettings, Upstream};
 use rand::seq::IndexedRandom;
 use rand_pcg::Pcg64Mcg;
@@ -28,7 +28,7 @@
 pub struct UpstreamSet {
     host: HostId,
     zone: ZoneName,
-    known: FastMap<UpstreamId, Known>,
+    known: FastMap<UpstreamId, UpstreamState>,
     services: FastMap<ServiceName, Service>,
     backpressure: BackpressureSet,
     /// When it was first told of any.
@@ -59,9 +59,9 @@
         for entry in entries {
             let id = entry.value.id.clone();
             let same_run = former.remove(&id).filter(|known| known.is_of_run(entry.value.run));
-            let mut known = same_run.unwrap_or_else(|| Known::new(entry, now_ms));
+            let mut known = same_run.unwrap_or_else(|| UpstreamState::new(entry, now_ms));
             let published = entry.value.eligibility(evacuations);
-            known.note_entry(now_ms, entry, eligibility(published, &known, &self.backpressure));
+            known.apply_entry(now_ms, entry, eligibility(published, &known, &self.backpressure));
             let service = self.services.entry(entry.value.service.clone()).or_default();
             service.upstreams.push(id.clone());
             service.grow_curve(entry.value.slots);
@@ -91,28 +91,28 @@
     }
 
     /// One upstream.
-    pub fn get(&self, id: &UpstreamId) -> Option<&Known> {
+    pub fn get(&self, id: &UpstreamId) -> Option<&UpstreamState> {
         self.known.get(id)
     }
 
     /// One upstream, to note what it did.
-    pub fn get_mut(&mut self, id: &UpstreamId) -> Option<&mut Known> {
+    pub fn get_mut(&mut self, id: &UpstreamId) -> Option<&mut UpstreamState> {
         self.known.get_mut(id)
     }
 
     /// Which run of it goes on now, as far as it is told.
-    pub fn run(&self, id: &UpstreamId) -> RunStart {
+    pub fn current_run(&self, id: &UpstreamId) -> RunStart {
         self.known.get(id).map(|known| known.entry.run).unwrap_or_default()
     }
 
     /// Whether an upstream started again since its run `run` was dealt with.
     pub fn has_restarted(&self, id: &UpstreamId, run: RunStart) -> bool {
-        self.run(id).is_after(run)
+        self.current_run(id).is_after(run)
     }
 
     /// One upstream, to note what came of something that was begun with its run `run`; none if
     /// that run is over.
-    pub fn get_run_mut(&mut self, id: &UpstreamId, run: RunStart) -> Option<&mut Known> {
+    pub fn get_run_mut(&mut self, id: &UpstreamId, run: RunStart) -> Option<&mut UpstreamState> {
         self.known.get_mut(id).filter(|known| known.is_of_run(run))
     }
 
@@ -122,13 +122,13 @@
     }
 
     /// Whether new requests may be sent to it.
-    pub fn takes_work(&self, id: &UpstreamId) -> bool {
+    pub fn accepts_requests(&self, id: &UpstreamId) -> bool {
         self.eligibility(id) == Some(Eligibility::Eligible)
     }
 
     /// A run of an upstream answered a health check, with how much longer it stays cold. Where its
     /// service states a rate for cold ones, one that tells nothing is warm.
-    pub fn note_cold(
+    pub fn record_warmup_left(
         &mut self,
         now_ms: Millis,
         (id, run): (&UpstreamId, RunStart),
@@ -139,7 +139,7 @@
         };
         let service = self.services.get(&known.entry.service);
         let tells = service.is_some_and(|service| service.cold_rate.is_some());
-        known.note_cold(now_ms, left_ms.or(tells.then_some(Millis::ZERO)));
+        known.record_warmup_left(now_ms, left_ms.or(tells.then_some(Millis::ZERO)));
     }
 
     /// How many upstreams are cold, or may be.
@@ -161,11 +161,11 @@
     /// Whether a service has no upstream that takes work, but has one in an evacuated zone.
     pub fn is_evacuated(&self, service: &ServiceName) -> bool {
         let is = |id: &UpstreamId| self.eligibility(id) == Some(Eligibility::ZoneEvacuated);
-        self.count(service) == 0 && self.of_service(service).iter().any(is)
+        self.count_eligible(service) == 0 && self.of_service(service).iter().any(is)
     }
 
     /// Whether it stands in another availability zone than this host.
-    pub fn is_other_zone(&self, id: &UpstreamId) -> bool {
+    pub fn is_in_other_zone(&self, id: &UpstreamId) -> bool {
         self.known.get(id).is_some_and(|known| known.entry.availability_zone != self.zone)
     }
 
@@ -175,13 +175,13 @@
     }
 
     /// Whether a service has an upstream that takes work in an availability zone.
-    pub fn takes_work_in(&self, service: &ServiceName, zone: &ZoneName) -> bool {
+    pub fn accepts_requests_in(&self, service: &ServiceName, zone: &ZoneName) -> bool {
         self.open_zones(service).any(|open| open == zone)
     }
 
     /// The availability zone of each upstream of a service that takes work.
     fn open_zones(&self, service: &ServiceName) -> impl Iterator<Item = &ZoneName> {
-        let open = self.of_service(service).iter().filter(|id| self.takes_work(id));
+        let open = self.of_service(service).iter().filter(|id| self.accepts_requests(id));
         open.filter_map(|id| self.known.get(id)).map(|known| &known.entry.availability_zone)
     }
 
@@ -199,8 +199,8 @@
     }
 
     /// How many upstreams of a service take work.
-    pub fn count(&self, service: &ServiceName) -> usize {
-        self.of_service(service).iter().filter(|id| self.takes_work(id)).count()
+    pub fn count_eligible(&self, service: &ServiceName) -> usize {
+        self.of_service(service).iter().filter(|id| self.accepts_requests(id)).count()
     }
 
     /// What a request of this host would cost at an upstream now.
@@ -229,7 +229,7 @@
     }
 
     /// A run of an upstream told its load.
-    pub fn note_report(
+    pub fn record_report(
         &mut self,
         now_ms: Millis,
         (id, run): (&UpstreamId, RunStart),
@@ -238,9 +238,9 @@
         let Some(known) = self.known.get_mut(id).filter(|known| known.is_of_run(run)) else {
             return;
         };
-        known.note_report(now_ms, report);
+        known.record_report(now_ms, report);
         if let Some(service) = self.services.get_mut(&known.entry.service) {
-            service.note_report(&report, known.open());
+            service.record_report(&report, known.in_flight());
         }
     }
 
--- a/crates/dispatch/src/upstream_set/held_back.rs
+++ b/crates/dispatch/src/upstream_set/limits.rs
@@ -6,7 +6,7 @@
 };
 use crate::cold::Warmth;
 use crate::fleet_rate::FleetRate;
-use crate::upstream::Known;
+use crate::upstream::UpstreamState;
 use domain::{Millis, ServiceName, UpstreamId};
 use published::{Eligibility, RunStart};
 
@@ -22,7 +22,7 @@
         }
     }
 
-    fn cold_rate(&self, now_ms: Millis, known: &Known) -> Option<FleetRate> {
+    fn cold_rate(&self, now_ms: Millis, known: &UpstreamState) -> Option<FleetRate> {
         if known.warmth(now_ms) == Warmth::Warm {
             return None;
         }
@@ -31,35 +31,35 @@
     }
 
     /// How much longer this host leaves an upstream alone, as it was asked to.
-    pub fn backs_off(&self, now_ms: Millis, id: &UpstreamId) -> Option<Millis> {
+    pub fn remaining_backoff(&self, now_ms: Millis, id: &UpstreamId) -> Option<Millis> {
         let known = self.known.get(id)?;
-        self.backpressure.backs_off(now_ms, id, known.entry.run)
+        self.backpressure.remaining_backoff(now_ms, id, known.entry.run)
     }
 
     /// The upstreams of a service that this host leaves alone, as it was asked to.
-    pub fn backing_off(&self, now_ms: Millis, service: &ServiceName) -> Vec<UpstreamId> {
+    pub fn upstreams_in_backoff(&self, now_ms: Millis, service: &ServiceName) -> Vec<UpstreamId> {
         let is_of_service = |id: &&UpstreamId| {
             let known = self.known.get(*id);
             known.is_some_and(|known| known.entry.service == *service)
         };
-        let of_service = self.backpressure.backing_off(now_ms).filter(is_of_service);
+        let of_service = self.backpressure.upstreams_in_backoff(now_ms).filter(is_of_service);
         // The run that asked for it may have ended.
-        of_service.filter(|id| self.backs_off(now_ms, id).is_some()).cloned().collect()
+        of_service.filter(|id| self.remaining_backoff(now_ms, id).is_some()).cloned().collect()
     }
 
     /// Whether any upstream of a service may take less than what comes. Asked before each of hundreds
     /// is looked at for each request.
-    pub(crate) fn may_hold_back(&self, service: &ServiceName) -> bool {
+    pub(crate) fn may_limit(&self, service: &ServiceName) -> bool {
         let service = self.services.get(service);
         !self.backpressure.is_empty() || service.is_some_and(|service| service.cold_rate.is_some())
     }
 
     /// When a service takes the next request of this host where all of its upstreams take a rate only,
     /// or asked this host to back off; none if one of them takes what comes, or none is there.
-    pub fn free_in(&self, now_ms: Millis, service: &ServiceName) -> Option<Millis> {
+    pub fn next_request_in(&self, now_ms: Millis, service: &ServiceName) -> Option<Millis> {
         let (mut per_s, mut first_back_ms) = (0.0, None);
-        for id in self.of_service(service).iter().filter(|id| self.takes_work(id)) {
-            match (self.backs_off(now_ms, id), self.fleet_rate(now_ms, id)) {
+        for id in self.of_service(service).iter().filter(|id| self.accepts_requests(id)) {
+            match (self.remaining_backoff(now_ms, id), self.fleet_rate(now_ms, id)) {
                 (Some(left_ms), _) => {
                     first_back_ms = first_back_ms.into_iter().chain([left_ms]).min();
                 }
@@ -98,7 +98,7 @@
     /// Requests that left for a run of an upstream within about a second.
     fn sent_to(&self, now_ms: Millis, (id, run): (&UpstreamId, RunStart)) -> f64 {
         let known = self.known.get(id).filter(|known| known.is_of_run(run));
-        known.map_or(0.0, |known| known.sent_lately(now_ms))
+        known.map_or(0.0, |known| known.recently_sent(now_ms))
     }
 
     /// An upstream may have said that it is leaving.
@@ -129,7 +129,7 @@
     ) -> Vec<BackpressureChange> {
         let UpstreamSet { backpressure, known, .. } = self;
         let sent_before =
-            |id: &UpstreamId| known.get(id).map_or(0.0, |known| known.sent_lately(now_ms));
+            |id: &UpstreamId| known.get(id).map_or(0.0, |known| known.recently_sent(now_ms));
         let changes = backpressure.take(now_ms, told, sent_before);
         changes.iter().for_each(|change| self.note_leaving(&change.upstream));
         changes
@@ -145,7 +145,7 @@
 /// What is published of an upstream, unless it said itself that it is leaving.
 pub(super) fn eligibility(
     published: Eligibility,
-    known: &Known,
+    known: &UpstreamState,
     backpressure: &BackpressureSet,
 ) -> Eligibility {
     let entry = &known.entry;
--- a/crates/dispatch/src/upstream_set/to_ask.rs
+++ b/crates/dispatch/src/upstream_set/probe_targets.rs
@@ -2,7 +2,7 @@
 
 use super::UpstreamSet;
 use crate::service::Service;
-use crate::upstream::Known;
+use crate::upstream::UpstreamState;
 use domain::{Millis, ServiceName, UpstreamId};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -27,11 +27,11 @@
 
 /// Which upstreams come first when some are to be asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reach {
+pub enum ZoneScope {
     /// Those of the host's own availability zone.
-    Near,
+    Local,
     /// Those of other zones: the own zone had no good offer.
-    Far,
+    Other,
 }
 
 /// An upstream that may be asked, and where it stands among the others.
@@ -54,17 +54,17 @@
     /// availability zones first.
     ///
     /// Those in `excluded` are left out, and those that are left alone, as long as any other is there.
-    pub fn to_ask(
+    pub fn choose_probe_targets(
         &self,
         now_ms: Millis,
         service: &ServiceName,
         excluded: &[UpstreamId],
-        (most, reach): (usize, Reach),
+        (most, reach): (usize, ZoneScope),
         is_connected: impl Fn(&UpstreamId) -> bool,
         rng: &mut Pcg64Mcg,
     ) -> Vec<UpstreamId> {
         let Some(service) = self.services.get(service) else { return Vec::new() };
-        let is_open = |id: &&UpstreamId| self.takes_work(id) && !excluded.contains(id);
+        let is_open = |id: &&UpstreamId| self.accepts_requests(id) && !excluded.contains(id);
         let open = service.upstreams.iter().filter(is_open);
         let mut ranked: Vec<Ranked<'_>> = open
             .filter_map(|id| {
@@ -84,12 +84,12 @@
         now_ms: Millis,
         id: &UpstreamId,
         service: &Service,
-        reach: Reach,
+        reach: ZoneScope,
     ) -> Option<Group> {
         Some(Group {
-            is_avoided: self.known.get(id)?.is_avoided(now_ms),
+            is_avoided: self.known.get(id)?.is_excluded(now_ms),
             is_outside_subset: !service.subset.contains(id),
-            is_unwanted_zone: self.is_other_zone(id) != (reach == Reach::Far),
+            is_unwanted_zone: self.is_in_other_zone(id) != (reach == ZoneScope::Other),
         })
     }
 
@@ -108,8 +108,8 @@
         Some(cost * (1.0 + SHAKE * rng.random::<f64>()) + connecting)
     }
 
-    fn is_newcomer(&self, now_ms: Millis, known: &Known) -> bool {
-        let joined_ms = known.joined_ms();
+    fn is_newcomer(&self, now_ms: Millis, known: &UpstreamState) -> bool {
+        let joined_ms = known.first_seen_ms();
         let was_filled = self.filled_ms.is_some_and(|at_ms| joined_ms.since(at_ms) >= FILLING_MS);
         was_filled && now_ms.since(joined_ms) < NEWCOMER_MS
     }
--- a/crates/dispatch/tests/backoff.rs
+++ b/crates/dispatch/tests/backoff.rs
@@ -25,7 +25,7 @@
 }
 
 fn left(set: &UpstreamSet, after_ms: u64) -> Option<u64> {
-    set.backs_off(NOW + Millis(after_ms), &id("i-1")).map(|left_ms| left_ms.0)
+    set.remaining_backoff(NOW + Millis(after_ms), &id("i-1")).map(|left_ms| left_ms.0)
 }
 
 /// What an upstream answers, and after how long.
@@ -101,7 +101,7 @@
     for (name, backoff_ms) in names.iter().zip(asked) {
         set.note_backpressure(NOW, (&id(name), RUN), FAILED, asks_for(*backoff_ms));
     }
-    let free_in = set.free_in(NOW, &"parts".parse().unwrap());
+    let free_in = set.next_request_in(NOW, &"parts".parse().unwrap());
     assert_eq!(free_in, wanted.map(Millis));
 }
 
@@ -128,7 +128,7 @@
 
     fn tell(&mut self, upstream: &str, (running, waiting, slowness): (u32, u32, u32)) {
         let told: LoadReport = report(running, waiting, slowness);
-        self.upstreams.note_report(self.now_ms, (&id(upstream), RUN), told);
+        self.upstreams.record_report(self.now_ms, (&id(upstream), RUN), told);
     }
 
     fn take(&mut self, host: u16, message: PlacementMessage) -> Vec<Effect> {
--- a/crates/dispatch/tests/choice.rs
+++ b/crates/dispatch/tests/choice.rs
@@ -4,7 +4,8 @@
 mod support;
 
 use dispatch::{
-    AttemptFailure, Candidate, Known, ProbeFailure, Reach, ServiceLoad, SpeedCurve, Weighing,
+    AttemptFailure, Candidate, ProbeFailure, ServiceLoad, SpeedCurve, UpstreamState, Weighing,
+    ZoneScope,
 };
 use domain::{Millis, Slots, UpstreamId};
 use published::{Evacuations, RunStart, UpstreamMode};
@@ -15,27 +16,27 @@
 
 const NOW: Millis = Millis(10_000);
 
-fn told(running: u32, waiting: u32, slowness_percent: u32, age_ms: u64) -> Known {
+fn told(running: u32, waiting: u32, slowness_percent: u32, age_ms: u64) -> UpstreamState {
     let mut known = known("i-1");
-    known.note_report(NOW - Millis(age_ms), report(running, waiting, slowness_percent));
+    known.record_report(NOW - Millis(age_ms), report(running, waiting, slowness_percent));
     known
 }
 
-fn failing(failures: u32) -> Known {
+fn failing(failures: u32) -> UpstreamState {
     let mut known = told(0, 0, 100, 0);
     for _ in 0..failures {
-        known.note_sent(NOW);
-        known.note_ended(NOW, Some(AttemptFailure::Disconnected));
+        known.record_sent(NOW);
+        known.record_ended(NOW, Some(AttemptFailure::Disconnected));
     }
-    known.note_report(NOW, report(0, 0, 100));
+    known.record_report(NOW, report(0, 0, 100));
     known
 }
 
-fn cost(known: &Known) -> f64 {
+fn cost(known: &UpstreamState) -> f64 {
     weigh(known, ServiceLoad::default(), false).cost
 }
 
-fn weigh(known: &Known, load: ServiceLoad, is_other_zone: bool) -> Candidate {
+fn weigh(known: &UpstreamState, load: ServiceLoad, is_other_zone: bool) -> Candidate {
     let curve = SpeedCurve::new(Slots(support::SLOTS));
     dispatch::weigh(known, Weighing { load, curve: &curve, now_ms: NOW, is_other_zone })
 }
@@ -49,7 +50,7 @@
 #[case::unknown_before_fresh_slow(known("i-1"), told(0, 0, 700, 0))]
 #[case::fresh_fair_before_old_slow(told(1, 0, 150, 0), told(0, 0, 700, 500))]
 #[case::sound_before_failing(told(4, 0, 100, 0), failing(3))]
-fn prefers(#[case] better: Known, #[case] worse: Known) {
+fn prefers(#[case] better: UpstreamState, #[case] worse: UpstreamState) {
     assert!(cost(&better) < cost(&worse), "{} {}", cost(&better), cost(&worse));
 }
 
@@ -77,8 +78,8 @@
 )]
 fn what_is_not_known_is_as_the_service(
     #[case] load: ServiceLoad,
-    #[case] better: Known,
-    #[case] worse: Known,
+    #[case] better: UpstreamState,
+    #[case] worse: UpstreamState,
 ) {
     let cost = |known| weigh(known, load, false).cost;
     assert!(cost(&better) < cost(&worse), "{} {}", cost(&better), cost(&worse));
@@ -94,8 +95,8 @@
 #[test]
 fn failures_are_forgotten() {
     let known = failing(5);
-    assert!(known.failure_share(NOW) > 0.5);
-    assert!(known.failure_share(NOW + Millis(20_000)) < 0.1);
+    assert!(known.failure_rate(NOW) > 0.5);
+    assert!(known.failure_rate(NOW + Millis(20_000)) < 0.1);
 }
 
 #[test]
@@ -103,11 +104,11 @@
     let mut known = told(0, 0, 100, 0);
     let idle = cost(&known);
     for _ in 0..6 {
-        known.note_sent(NOW);
+        known.record_sent(NOW);
     }
     assert!(cost(&known) > idle + 0.5);
-    known.note_withdrawn();
-    assert_eq!(known.open(), 5);
+    known.record_withdrawn();
+    assert_eq!(known.in_flight(), 5);
 }
 
 #[test]
@@ -120,19 +121,25 @@
 }
 
 fn asked(set: &dispatch::UpstreamSet, excluded: &[&str], most: usize) -> Vec<String> {
-    reached(set, excluded, most, Reach::Near)
+    reached(set, excluded, most, ZoneScope::Local)
 }
 
 fn reached(
     set: &dispatch::UpstreamSet,
     excluded: &[&str],
     most: usize,
-    reach: Reach,
+    reach: ZoneScope,
 ) -> Vec<String> {
     let mut rng = Pcg64Mcg::seed_from_u64(7);
     let excluded: Vec<_> = excluded.iter().map(|name| id(name)).collect();
-    let ids =
-        set.to_ask(NOW, &"parts".parse().unwrap(), &excluded, (most, reach), |_| false, &mut rng);
+    let ids = set.choose_probe_targets(
+        NOW,
+        &"parts".parse().unwrap(),
+        &excluded,
+        (most, reach),
+        |_| false,
+        &mut rng,
+    );
     let mut names: Vec<String> = ids.iter().map(ToString::to_string).collect();
     names.sort();
     names
@@ -144,25 +151,25 @@
         set(&[entry("far-1", "temeke"), entry("near-1", "kariakoo"), entry("near-2", "kariakoo")]);
     assert_eq!(asked(&set, &[], 2), ["near-1", "near-2"]);
     assert_eq!(asked(&set, &["near-1"], 2), ["far-1", "near-2"]);
-    assert_eq!(reached(&set, &[], 1, Reach::Far), ["far-1"]);
-    assert_eq!(reached(&set, &["far-1"], 2, Reach::Far), ["near-1", "near-2"]);
+    assert_eq!(reached(&set, &[], 1, ZoneScope::Other), ["far-1"]);
+    assert_eq!(reached(&set, &["far-1"], 2, ZoneScope::Other), ["near-1", "near-2"]);
 }
 
 #[test]
 fn who_leaves_is_not_asked() {
     let set = set(&[entry("i-1", "kariakoo"), entry_in("i-2", "kariakoo", UpstreamMode::Draining)]);
     assert_eq!(asked(&set, &[], 3), ["i-1"]);
-    assert!(!set.takes_work(&id("i-2")));
-    assert_eq!(set.count(&"parts".parse().unwrap()), 1);
+    assert!(!set.accepts_requests(&id("i-2")));
+    assert_eq!(set.count_eligible(&"parts".parse().unwrap()), 1);
 }
 
 #[test]
 fn who_can_not_be_reached_is_left_alone_unless_nobody_else_is_there() {
     let mut set = set(&[entry("i-1", "kariakoo"), entry("i-2", "kariakoo")]);
-    set.get_mut(&id("i-1")).unwrap().note_ask_failed(NOW, ProbeFailure::Unreachable);
+    set.get_mut(&id("i-1")).unwrap().record_probe_failure(NOW, ProbeFailure::Unreachable);
     assert_eq!(asked(&set, &[], 3), ["i-2"]);
     assert_eq!(asked(&set, &["i-2"], 3), ["i-1"]);
-    set.get_mut(&id("i-1")).unwrap().note_asked();
+    set.get_mut(&id("i-1")).unwrap().record_probe_success();
     assert_eq!(asked(&set, &[], 3), ["i-1", "i-2"]);
 }
 
@@ -171,8 +178,8 @@
     let mut known = known("i-1");
     let mut spans = Vec::new();
     for _ in 0..6 {
-        known.note_ask_failed(NOW, ProbeFailure::TimedOut);
-        let span = (0..10_000).find(|&ms| !known.is_avoided(NOW + Millis(ms))).unwrap();
+        known.record_probe_failure(NOW, ProbeFailure::TimedOut);
+        let span = (0..10_000).find(|&ms| !known.is_excluded(NOW + Millis(ms))).unwrap();
         spans.push(span);
     }
     assert_eq!(spans, [250, 500, 1_000, 2_000, 2_000, 2_000]);
@@ -181,7 +188,7 @@
 #[test]
 fn knowledge_stays_over_a_change_of_entries() {
     let mut set = set(&[entry("i-1", "kariakoo"), entry("i-2", "kariakoo")]);
-    set.note_report(NOW, (&id("i-1"), RunStart::default()), report(5, 0, 100));
+    set.record_report(NOW, (&id("i-1"), RunStart::default()), report(5, 0, 100));
     set.sync(
         NOW,
         [entry("i-1", "kariakoo"), entry("i-3", "kariakoo")].iter(),
@@ -223,14 +230,14 @@
 fn a_connected_upstream_is_asked_by_preference(#[case] slowness: u32, #[case] wanted: &str) {
     let mut set = support::set(&[entry("i-1", "kariakoo"), entry("i-2", "kariakoo")]);
     let now_ms = Millis(1_000);
-    set.note_report(now_ms, (&id("i-1"), RunStart::default()), report(0, 0, 100));
-    set.note_report(now_ms, (&id("i-2"), RunStart::default()), report(0, 0, slowness));
+    set.record_report(now_ms, (&id("i-1"), RunStart::default()), report(0, 0, 100));
+    set.record_report(now_ms, (&id("i-2"), RunStart::default()), report(0, 0, slowness));
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     for _ in 0..50 {
         let is_connected = |other: &UpstreamId| other.as_str() == "i-2";
         let service = "parts".parse().unwrap();
-        let one = (1, Reach::Near);
-        let asked = set.to_ask(now_ms, &service, &[], one, is_connected, &mut rng);
+        let one = (1, ZoneScope::Local);
+        let asked = set.choose_probe_targets(now_ms, &service, &[], one, is_connected, &mut rng);
         assert_eq!(asked, [id(wanted)]);
     }
 }
@@ -251,12 +258,21 @@
     set.sync(Millis(joined_ms), [old, new].iter(), &Evacuations::default());
     let now_ms = Millis(now_ms);
     for name in ["i-1", "i-2"] {
-        set.note_report(now_ms, (&id(name), RunStart::default()), report(0, 0, 100));
+        set.record_report(now_ms, (&id(name), RunStart::default()), report(0, 0, 100));
     }
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let is_connected = |other: &UpstreamId| other.as_str() == "i-1";
     let service = "parts".parse().unwrap();
-    let mut ask = || set.to_ask(now_ms, &service, &[], (1, Reach::Near), is_connected, &mut rng);
+    let mut ask = || {
+        set.choose_probe_targets(
+            now_ms,
+            &service,
+            &[],
+            (1, ZoneScope::Local),
+            is_connected,
+            &mut rng,
+        )
+    };
     let asked = (0..50).filter(|_| ask() == [id("i-2")]).count();
     assert_eq!(asked > 10, is_asked, "{asked} of 50");
 }
--- a/crates/dispatch/tests/cold.rs
+++ b/crates/dispatch/tests/cold.rs
@@ -143,9 +143,11 @@
                 let entry = Entry { revision: Revision(revision), ..told_cold(left_ms) };
                 set.sync(NOW, std::iter::once(&entry), picture.evacuations());
             }
-            Told::Answer(left_ms) => set.note_cold(NOW, upstream, left_ms.map(Millis)),
+            Told::Answer(left_ms) => set.record_warmup_left(NOW, upstream, left_ms.map(Millis)),
             Told::Unreachable => {
-                set.get_mut(upstream.0).unwrap().note_ask_failed(NOW, ProbeFailure::Unreachable);
+                set.get_mut(upstream.0)
+                    .unwrap()
+                    .record_probe_failure(NOW, ProbeFailure::Unreachable);
             }
             Told::Evacuated | Told::Restored => {
                 let zone: domain::ZoneName = "kariakoo".parse().unwrap();
@@ -180,6 +182,6 @@
 fn without_a_stated_rate_nothing_is_held_back() {
     let mut set = set_of(&told_cold(3_000), None);
     assert_eq!(set.fleet_rate(NOW, &id("i-1")), None);
-    set.note_cold(NOW, (&id("i-1"), RunStart::default()), None);
+    set.record_warmup_left(NOW, (&id("i-1"), RunStart::default()), None);
     assert_eq!(set.get(&id("i-1")).unwrap().warmth(NOW), Warmth::Cold);
 }
--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -6,7 +6,7 @@
 use dispatch::scheduler::{
     Asker, Cell, Effect, PlacementMessage, RefusalCause, SchedulerSet, Submission,
 };
-use dispatch::{Reach, UpstreamSet};
+use dispatch::{UpstreamSet, ZoneScope};
 use domain::{Millis, ServiceName, ZoneName};
 use published::{Change, Entry, Evacuations, Item, Picture, Revision, RunStart, Upstream};
 use rand::SeedableRng;
@@ -60,8 +60,9 @@
 fn nobody_is_asked_there(#[case] each: usize) {
     let set = set_of(&site(each), &["kariakoo"]);
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    for reach in [Reach::Near, Reach::Far] {
-        let asked = set.to_ask(NOW, &service(), &[], (100, reach), |_| false, &mut rng);
+    for reach in [ZoneScope::Local, ZoneScope::Other] {
+        let asked =
+            set.choose_probe_targets(NOW, &service(), &[], (100, reach), |_| false, &mut rng);
         assert_eq!(asked.len(), 2 * each);
         assert!(asked.iter().all(|id| !id.as_str().contains("kariakoo")), "{asked:?}");
     }
@@ -105,15 +106,15 @@
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut schedulers = SchedulerSet::new("front-1".parse().unwrap());
     for name in ["i-1", "i-2"] {
-        set.note_report(NOW, (&id(name), RunStart::default()), report(6, 6, 100));
+        set.record_report(NOW, (&id(name), RunStart::default()), report(6, 6, 100));
     }
     let asker = Asker::Own;
     let effects = schedulers.take(NOW, submit(1, &cell), asker, &mut set, &mut rng);
     assert!(placed(&effects).is_empty(), "{effects:?}");
     set.sync(NOW, entries.iter(), &evacuations(&["kariakoo"]));
-    set.note_report(NOW, (&id("i-1"), RunStart::default()), report(0, 0, 100));
+    set.record_report(NOW, (&id("i-1"), RunStart::default()), report(0, 0, 100));
     assert!(placed(&schedulers.turn(NOW, &mut set, &mut rng)).is_empty());
-    set.note_report(NOW, (&id("i-2"), RunStart::default()), report(0, 0, 100));
+    set.record_report(NOW, (&id("i-2"), RunStart::default()), report(0, 0, 100));
     assert_eq!(placed(&schedulers.turn(NOW, &mut set, &mut rng)), ["i-2"]);
 }
 
--- a/crates/dispatch/tests/leaving.rs
+++ b/crates/dispatch/tests/leaving.rs
@@ -34,11 +34,11 @@
     let changed = set.note_backpressure(NOW, at, kind, LEAVES).unwrap();
     assert!(changed.is_leaving);
     assert_eq!(eligibility(&set), Some(Eligibility::SaysLeaving));
-    assert!(!set.takes_work(&id("i-1")));
+    assert!(!set.accepts_requests(&id("i-1")));
     let later = set.note_backpressure(NOW, at, AnswerKind::Served, Backpressure::default());
     assert!(later.is_none());
     assert_eq!(set.note_backpressure(NOW, at, kind, LEAVES), None, "it is told once");
-    assert!(!set.takes_work(&id("i-1")));
+    assert!(!set.accepts_requests(&id("i-1")));
 }
 
 #[rstest]
@@ -84,7 +84,7 @@
     // A clock that has just started: what was said is older than it.
     let changed = hearing.take_backpressure(Millis(5), told.clone());
     assert!(changed.iter().any(|change| change.is_leaving));
-    assert!(!hearing.takes_work(&id("i-1")));
+    assert!(!hearing.accepts_requests(&id("i-1")));
     assert!(!hearing.backpressure().is_untold());
     assert!(hearing.take_backpressure(Millis(5), told).is_empty());
     assert_eq!(telling.backpressure().digest(), hearing.backpressure().digest());
--- a/crates/dispatch/tests/rate_limit.rs
+++ b/crates/dispatch/tests/rate_limit.rs
@@ -134,9 +134,9 @@
     let mut set = set(&[entry("i-1", "kariakoo"), entry("i-2", "temeke")]);
     let parts = "parts".parse().unwrap();
     set.note_backpressure(NOW, (&id("i-1"), RUN), SERVED, says(Some(2.0)));
-    assert_eq!(set.free_in(NOW, &parts), None);
+    assert_eq!(set.next_request_in(NOW, &parts), None);
     set.note_backpressure(NOW, (&id("i-2"), RUN), SERVED, says(Some(3.0)));
-    assert_eq!(set.free_in(NOW, &parts), Some(Millis(200)));
+    assert_eq!(set.next_request_in(NOW, &parts), Some(Millis(200)));
 }
 
 /// A message holds so many at most; what is told is what peers need to hear, the latest first.
--- a/crates/dispatch/tests/restart.rs
+++ b/crates/dispatch/tests/restart.rs
@@ -21,12 +21,12 @@
 /// An upstream of which all kinds of things are known, and which then started again.
 fn restarted() -> UpstreamSet {
     let mut set = set(&[of_run("i-1", 100)]);
-    set.note_report(NOW, (&id("i-1"), FORMER), report(5, 2, 400));
+    set.record_report(NOW, (&id("i-1"), FORMER), report(5, 2, 400));
     let known = set.get_mut(&id("i-1")).unwrap();
-    known.note_sent(NOW);
-    known.note_sent(NOW);
-    known.note_ended(NOW, Some(AttemptFailure::Disconnected));
-    known.note_ask_failed(NOW, ProbeFailure::Unreachable);
+    known.record_sent(NOW);
+    known.record_sent(NOW);
+    known.record_ended(NOW, Some(AttemptFailure::Disconnected));
+    known.record_probe_failure(NOW, ProbeFailure::Unreachable);
     set.sync(NOW, [of_run("i-1", 200)].iter(), &Evacuations::default());
     set
 }
@@ -35,10 +35,10 @@
 fn nothing_is_kept_of_the_former_run() {
     let set = restarted();
     let known = set.get(&id("i-1")).unwrap();
-    assert_eq!(known.open(), 0);
+    assert_eq!(known.in_flight(), 0);
     assert!(known.report(NOW).is_none());
-    assert!(!known.is_avoided(NOW));
-    assert_eq!(known.failure_share(NOW), 0.0);
+    assert!(!known.is_excluded(NOW));
+    assert_eq!(known.failure_rate(NOW), 0.0);
     assert!(set.has_restarted(&id("i-1"), FORMER));
     assert!(!set.has_restarted(&id("i-1"), LATER));
     assert!(!set.has_restarted(&id("i-1"), RunStart::default()));
@@ -47,19 +47,19 @@
 #[test]
 fn what_was_begun_with_the_former_run_says_nothing_of_the_next() {
     let mut set = restarted();
-    set.get_mut(&id("i-1")).unwrap().note_sent(NOW);
+    set.get_mut(&id("i-1")).unwrap().record_sent(NOW);
     assert!(set.get_run_mut(&id("i-1"), FORMER).is_none());
-    set.note_report(NOW, (&id("i-1"), FORMER), report(6, 9, 700));
+    set.record_report(NOW, (&id("i-1"), FORMER), report(6, 9, 700));
     assert!(set.get(&id("i-1")).unwrap().report(NOW).is_none());
-    assert_eq!(set.get_run_mut(&id("i-1"), LATER).unwrap().open(), 1);
+    assert_eq!(set.get_run_mut(&id("i-1"), LATER).unwrap().in_flight(), 1);
 }
 
 #[test]
 fn entries_without_a_start_are_of_one_run() {
     let mut set = set(&[of_run("i-1", 100)]);
-    set.get_mut(&id("i-1")).unwrap().note_sent(NOW);
+    set.get_mut(&id("i-1")).unwrap().record_sent(NOW);
     set.sync(NOW, [support::entry("i-1", "kariakoo")].iter(), &Evacuations::default());
-    assert_eq!(set.get_run_mut(&id("i-1"), FORMER).unwrap().open(), 1);
+    assert_eq!(set.get_run_mut(&id("i-1"), FORMER).unwrap().in_flight(), 1);
 }
 
 #[test]
@@ -71,13 +71,13 @@
     let mut take = |upstreams: &mut UpstreamSet, message| {
         schedulers.take(NOW, message, asker, upstreams, &mut rng)
     };
-    upstreams.note_report(NOW, (&id("i-1"), FORMER), report(0, 0, 100));
+    upstreams.record_report(NOW, (&id("i-1"), FORMER), report(0, 0, 100));
     take(&mut upstreams, submit(1));
-    assert_eq!(upstreams.get(&id("i-1")).unwrap().open(), 1);
+    assert_eq!(upstreams.get(&id("i-1")).unwrap().in_flight(), 1);
     upstreams.sync(NOW, [of_run("i-1", 200)].iter(), &Evacuations::default());
-    upstreams.note_report(NOW, (&id("i-1"), LATER), report(0, 0, 100));
+    upstreams.record_report(NOW, (&id("i-1"), LATER), report(0, 0, 100));
     take(&mut upstreams, submit(2));
-    assert_eq!(upstreams.get(&id("i-1")).unwrap().open(), 1);
+    assert_eq!(upstreams.get(&id("i-1")).unwrap().in_flight(), 1);
     let outcome = Outcome {
         failure: Some(AttemptFailure::Disconnected),
         took_ms: Millis(5),
@@ -87,10 +87,10 @@
     let effects = take(&mut upstreams, PlacementMessage::Ended { ticket: Ticket(1), outcome });
     assert!(effects.iter().all(|effect| !matches!(effect, Effect::Ask(_))), "{effects:?}");
     let known = upstreams.get(&id("i-1")).unwrap();
-    assert_eq!((known.open(), known.failure_share(NOW)), (1, 0.0));
+    assert_eq!((known.in_flight(), known.failure_rate(NOW)), (1, 0.0));
     assert_eq!(known.report(NOW).unwrap().0.running, 0);
     take(&mut upstreams, PlacementMessage::Withdrawn { ticket: Ticket(2), how: Withdrawal::Sent });
-    assert_eq!(upstreams.get(&id("i-1")).unwrap().open(), 0);
+    assert_eq!(upstreams.get(&id("i-1")).unwrap().in_flight(), 0);
 }
 
 fn submit(ticket: u64) -> PlacementMessage {
--- a/crates/dispatch/tests/scheduler.rs
+++ b/crates/dispatch/tests/scheduler.rs
@@ -50,7 +50,7 @@
     }
 
     fn tell(&mut self, upstream: &str, told: LoadReport) -> Vec<Effect> {
-        self.upstreams.note_report(self.now_ms, (&id(upstream), RunStart::default()), told);
+        self.upstreams.record_report(self.now_ms, (&id(upstream), RunStart::default()), told);
         self.turn()
     }
 
@@ -217,7 +217,7 @@
         let tickets: Vec<Ticket> = (0..7).map(|_| play.submit().0).collect();
         play.wait(7);
         play.turn();
-        let open = play.upstreams.get(&id("i-1")).unwrap().open();
+        let open = play.upstreams.get(&id("i-1")).unwrap().in_flight();
         most = open;
         play.wait(93);
         for ticket in tickets {
@@ -322,7 +322,7 @@
 #[case::out_of_reach(|play: &mut Play| {
     let now_ms = play.now_ms;
     let known = play.upstreams.get_mut(&id("i-1")).unwrap();
-    known.note_ask_failed(now_ms, ProbeFailure::Unreachable);
+    known.record_probe_failure(now_ms, ProbeFailure::Unreachable);
 })]
 fn an_idle_upstream_that_is_no_good_draws_nothing_while_others_are_full(
     #[case] spoil: fn(&mut Play),
@@ -344,8 +344,8 @@
     for _ in 0..6 {
         let now_ms = play.now_ms;
         let known = play.upstreams.get_mut(&id(upstream)).unwrap();
-        known.note_sent(Millis::ZERO);
-        known.note_ended(now_ms, Some(AttemptFailure::ErrorResponse));
+        known.record_sent(Millis::ZERO);
+        known.record_ended(now_ms, Some(AttemptFailure::ErrorResponse));
     }
 }
 
@@ -366,9 +366,9 @@
     let mut play = Play::new(&["i-1"]);
     play.tell("i-1", report(0, 0, 100));
     let (ticket, _) = play.submit();
-    assert_eq!(play.upstreams.get(&id("i-1")).unwrap().open(), 1);
+    assert_eq!(play.upstreams.get(&id("i-1")).unwrap().in_flight(), 1);
     play.take(PlacementMessage::Withdrawn { ticket, how: Withdrawal::Sent });
-    assert_eq!(play.upstreams.get(&id("i-1")).unwrap().open(), 0);
+    assert_eq!(play.upstreams.get(&id("i-1")).unwrap().in_flight(), 0);
 }
 
 #[test]
@@ -380,11 +380,11 @@
     for _ in 0..2 {
         play.take(PlacementMessage::Submit(submission.clone()));
     }
-    assert_eq!(play.upstreams.get(&id("i-1")).unwrap().open(), 1);
+    assert_eq!(play.upstreams.get(&id("i-1")).unwrap().in_flight(), 1);
     for _ in 0..2 {
         play.end(ticket, None, 100);
     }
-    assert_eq!(play.upstreams.get(&id("i-1")).unwrap().open(), 0);
+    assert_eq!(play.upstreams.get(&id("i-1")).unwrap().in_flight(), 0);
 }
 
 #[test]
@@ -394,7 +394,7 @@
     play.submit();
     play.wait(1_400);
     play.turn();
-    assert_eq!(play.upstreams.get(&id("i-1")).unwrap().open(), 0);
+    assert_eq!(play.upstreams.get(&id("i-1")).unwrap().in_flight(), 0);
 }
 
 #[test]
--- a/crates/dispatch/tests/subset.rs
+++ b/crates/dispatch/tests/subset.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use dispatch::{FAR, FleetShape, NEAR, Reach, UpstreamSet};
+use dispatch::{FAR, FleetShape, NEAR, UpstreamSet, ZoneScope};
 use domain::{FastMap, Millis};
 use published::{Entry, Evacuations, Upstream};
 use rand::SeedableRng;
@@ -29,11 +29,11 @@
             let mut set = UpstreamSet::new(name.parse().unwrap(), zone.parse().unwrap());
             set.sync(Millis::ZERO, entries.iter(), &Evacuations::default());
             let mut rng = Pcg64Mcg::seed_from_u64(host as u64);
-            let asked = set.to_ask(
+            let asked = set.choose_probe_targets(
                 Millis(1),
                 &"parts".parse().unwrap(),
                 &[],
-                (NEAR + FAR, Reach::Near),
+                (NEAR + FAR, ZoneScope::Local),
                 |_| false,
                 &mut rng,
             );
@@ -70,11 +70,11 @@
         UpstreamSet::new("front-kariakoo-0".parse().unwrap(), "kariakoo".parse().unwrap());
     set.sync(Millis::ZERO, entries.iter(), &Evacuations::default());
     let mut rng = Pcg64Mcg::seed_from_u64(0);
-    let asked = set.to_ask(
+    let asked = set.choose_probe_targets(
         Millis(1),
         &"parts".parse().unwrap(),
         &[],
-        (1, Reach::Near),
+        (1, ZoneScope::Local),
         |_| false,
         &mut rng,
     );
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -4,7 +4,7 @@
 pub mod rate_site;
 
 use dispatch::scheduler::{Cell, Submission, Ticket};
-use dispatch::{Known, LoadReport, UpstreamSet};
+use dispatch::{LoadReport, UpstreamSet, UpstreamState};
 use domain::{Millis, Slots, UpstreamId};
 use published::{Entry, Evacuations, Revision, RunStart, Upstream, UpstreamMode};
 use std::sync::Arc;
@@ -40,8 +40,8 @@
     Entry { revision: Revision(start_ms), value: Arc::new(value) }
 }
 
-pub fn known(name: &str) -> Known {
-    Known::new(&entry(name, "kariakoo"), Millis::ZERO)
+pub fn known(name: &str) -> UpstreamState {
+    UpstreamState::new(&entry(name, "kariakoo"), Millis::ZERO)
 }
 
 pub fn report(running: u32, waiting: u32, slowness_percent: u32) -> LoadReport {
--- a/crates/dispatch/tests/support/rate_site.rs
+++ b/crates/dispatch/tests/support/rate_site.rs
@@ -9,7 +9,7 @@
 use dispatch::scheduler::{
     Asker, Cell, Directory, Effect, Outcome, PlacementMessage, Submission, Ticket, Withdrawal,
 };
-use dispatch::{AttemptFailure, LoadReport, Reach};
+use dispatch::{AttemptFailure, LoadReport, ZoneScope};
 use domain::{FastMap, FastSet, Millis, ServiceName, Slots, UpstreamId, ZoneName};
 use host::{Host, asker, cold, known_fleet};
 use published::{Member, RunStart};
@@ -268,7 +268,7 @@
             zone: zone(0),
             objective_ms: Millis(1_500),
             left_ms: Millis(2_000),
-            backing_off: self.hosts[host].upstreams.backing_off(now_ms, &service()),
+            backing_off: self.hosts[host].upstreams.upstreams_in_backoff(now_ms, &service()),
             lends,
             ..submission(ticket)
         };
@@ -284,8 +284,9 @@
         let hosts = known_fleet(&self.site, now_ms).hosts;
         let Host { upstreams, rng, sender, .. } = &mut self.hosts[host];
         let held_back = sender.held_back(now_ms, upstreams, &service(), hosts);
-        let part = (3, Reach::Near);
-        let asked = upstreams.to_ask(now_ms, &service(), &held_back, part, |_| false, rng);
+        let part = (3, ZoneScope::Local);
+        let asked =
+            upstreams.choose_probe_targets(now_ms, &service(), &held_back, part, |_| false, rng);
         let running = |id: &UpstreamId| self.running.get(id).copied().unwrap_or_default();
         let Some(chosen) = asked.into_iter().find(|id| running(id) < SLOTS) else { return };
         sender.note_sent(now_ms, upstreams, &chosen, hosts);
@@ -327,9 +328,9 @@
                 };
                 let told = (&upstream, RunStart::default());
                 let left_ms = (Millis(self.site.length_ms) + AFTER_MS).since(now_ms);
-                self.hosts[by].upstreams.note_report(now_ms, told, report);
+                self.hosts[by].upstreams.record_report(now_ms, told, report);
                 if self.site.reason == Reason::Cold {
-                    self.hosts[by].upstreams.note_cold(now_ms, told, Some(left_ms));
+                    self.hosts[by].upstreams.record_warmup_left(now_ms, told, Some(left_ms));
                 }
             }
             // What a host that was killed waited for is over.
@@ -396,8 +397,8 @@
                 let Some(to) = self.open.remove(&(host, ticket.0)) else { return };
                 let now_ms = Millis(self.now_ms);
                 let upstreams = &self.hosts[host].upstreams;
-                let may_send = upstreams.takes_work(&place.upstream)
-                    && upstreams.backs_off(now_ms, &place.upstream).is_none();
+                let may_send = upstreams.accepts_requests(&place.upstream)
+                    && upstreams.remaining_backoff(now_ms, &place.upstream).is_none();
                 match may_send {
                     true => self.reach(&place.upstream, host, Some((to, ticket))),
                     false => self.withdraw(host, to, ticket),
--- a/crates/emulator/src/play/scheduled.rs
+++ b/crates/emulator/src/play/scheduled.rs
@@ -133,7 +133,7 @@
     pub(super) fn told(&mut self, upstream: usize, report: LoadReport) {
         let now_ms = self.now();
         let id = self.scheduler.ids[upstream].clone();
-        self.scheduler.upstreams.note_report(now_ms, (&id, RunStart::default()), report);
+        self.scheduler.upstreams.record_report(now_ms, (&id, RunStart::default()), report);
         self.turn();
     }
 
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -15,7 +15,7 @@
 use crate::connection::Connection;
 use crate::host::Host;
 use clock::Moment;
-use dispatch::{ASKED_AT_ONCE, AT_ONCE, Candidate, GOOD_ENOUGH, ROUNDS, Reach, UNWELL_COST};
+use dispatch::{ASKED_AT_ONCE, AT_ONCE, Candidate, GOOD_ENOUGH, ROUNDS, UNWELL_COST, ZoneScope};
 use domain::{ServiceName, UpstreamId};
 use question::{CheckBudget, ask_within_limit, may_ask};
 use std::rc::Rc;
@@ -102,13 +102,20 @@
     let candidates: Vec<UpstreamId> = {
         let upstreams = host.upstreams.borrow();
         let mut rng = host.rng.borrow_mut();
-        let part = (ASKED_AT_ONCE, Reach::Near);
+        let part = (ASKED_AT_ONCE, ZoneScope::Local);
         let pool = host.pool.borrow();
         let is_connected = |id: &UpstreamId| pool.holds(id);
         let held_back = host.held_back(&upstreams, service);
         let now_ms = host.now_ms();
-        let near = upstreams.to_ask(now_ms, service, &held_back, part, is_connected, &mut rng);
-        near.into_iter().filter(|id| !upstreams.is_other_zone(id)).collect()
+        let near = upstreams.choose_probe_targets(
+            now_ms,
+            service,
+            &held_back,
+            part,
+            is_connected,
+            &mut rng,
+        );
+        near.into_iter().filter(|id| !upstreams.is_in_other_zone(id)).collect()
     };
     if candidates.is_empty() {
         return None;
@@ -127,7 +134,7 @@
     host: &Host,
     service: &ServiceName,
     excluded: &mut Vec<UpstreamId>,
-    round: &[(usize, Reach)],
+    round: &[(usize, ZoneScope)],
 ) -> Vec<UpstreamId> {
     let upstreams = host.upstreams.borrow();
     let mut rng = host.rng.borrow_mut();
@@ -138,7 +145,14 @@
     let mut left_out = [excluded.clone(), host.held_back(&upstreams, service)].concat();
     let mut candidates = Vec::new();
     for &part in round {
-        let next = upstreams.to_ask(now_ms, service, &left_out, part, is_connected, &mut rng);
+        let next = upstreams.choose_probe_targets(
+            now_ms,
+            service,
+            &left_out,
+            part,
+            is_connected,
+            &mut rng,
+        );
         left_out.extend_from_slice(&next);
         candidates.extend(next);
     }
@@ -214,7 +228,7 @@
         Heard::Failure => return None,
     };
     let upstreams = host.upstreams.borrow();
-    if !upstreams.takes_work(&asked.upstream) {
+    if !upstreams.accepts_requests(&asked.upstream) {
         return None;
     }
     if !host.may_send(&upstreams, &asked.upstream) {
--- a/crates/gateway/src/ask/connect.rs
+++ b/crates/gateway/src/ask/connect.rs
@@ -23,7 +23,7 @@
 /// A connection to an upstream that was chosen without being asked. Opened now, not for each
 /// candidate: that halved the connections that a fleet of 110 hosts opened under bursts.
 pub async fn connect(host: &Rc<Host>, upstream: &UpstreamId, repeat: Repeat) -> Option<Connection> {
-    let run = host.upstreams.borrow().run(upstream);
+    let run = host.upstreams.borrow().current_run(upstream);
     let kept = host.pool.borrow_mut().take(upstream, run);
     match kept {
         Some(connection) if is_trusted(&connection, repeat) && !connection.is_doubtful() => {
--- a/crates/gateway/src/ask/question.rs
+++ b/crates/gateway/src/ask/question.rs
@@ -33,8 +33,8 @@
     let mut upstreams = host.upstreams.borrow_mut();
     let Some(known) = upstreams.get_run_mut(upstream, run) else { return };
     match is_well {
-        true => known.note_asked(),
-        false => known.note_ask_failed(now_ms, ProbeFailure::Unwell),
+        true => known.record_probe_success(),
+        false => known.record_probe_failure(now_ms, ProbeFailure::Unwell),
     }
 }
 
@@ -45,7 +45,7 @@
 ) {
     let now_ms = host.now_ms();
     if let Some(known) = host.upstreams.borrow_mut().get_run_mut(upstream, run) {
-        known.note_ask_failed(now_ms, failure);
+        known.record_probe_failure(now_ms, failure);
     }
     host.log.write(&LogEvent::AskFailed { upstream, failure });
 }
@@ -83,7 +83,7 @@
     service: &ServiceName,
     upstream: &UpstreamId,
 ) -> Option<(Connection, bool)> {
-    let run = host.upstreams.borrow().run(upstream);
+    let run = host.upstreams.borrow().current_run(upstream);
     let asking = question(host, service, (upstream, run));
     let result = clock::timeout(ASK_LIMIT, asking).await;
     match result.unwrap_or(Err(ProbeFailure::TimedOut)) {
@@ -175,7 +175,7 @@
 /// Notes what a run of an upstream told of its load.
 pub fn note_report(host: &Host, upstream: (&UpstreamId, RunStart), report: LoadReport) {
     let now_ms: Millis = host.now_ms();
-    host.upstreams.borrow_mut().note_report(now_ms, upstream, report);
+    host.upstreams.borrow_mut().record_report(now_ms, upstream, report);
 }
 
 /// Notes whether a run of an upstream is cold, as its answer to a health check tells: one that is
@@ -188,5 +188,5 @@
         let value = told.unwrap_or_default();
         return host.note_unreadable(upstream, host.dialect.cold_ms, value.as_bytes());
     }
-    host.upstreams.borrow_mut().note_cold(host.now_ms(), upstream_run, left_ms);
+    host.upstreams.borrow_mut().record_warmup_left(host.now_ms(), upstream_run, left_ms);
 }
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -169,8 +169,12 @@
         evacuated_zones: host.picture().evacuations().in_force().count() as u64,
         cold_upstreams: host.upstreams.borrow().count_cold(host.now_ms()) as u64,
         limited_upstreams: host.upstreams.borrow().backpressure().count_limited() as u64,
-        backing_off: host.upstreams.borrow().backpressure().backing_off(host.now_ms()).count()
-            as u64,
+        backing_off: host
+            .upstreams
+            .borrow()
+            .backpressure()
+            .upstreams_in_backoff(host.now_ms())
+            .count() as u64,
         leaving_upstreams: host.upstreams.borrow().backpressure().count_leaving() as u64,
         unread_marks: host.unread.borrow().count_names() as u64,
         picture_age: host.picture_age_ms().map(crate::host::duration),
@@ -195,13 +199,13 @@
         let known = upstreams.get(&entry.value.id)?;
         Some(UpstreamDump {
             entry: entry.clone(),
-            open: known.open(),
-            failure_share: known.failure_share(now_ms),
+            open: known.in_flight(),
+            failure_share: known.failure_rate(now_ms),
             slowness: known.slowness(now_ms, upstreams.load(&entry.value.service)),
-            is_avoided: known.is_avoided(now_ms),
+            is_avoided: known.is_excluded(now_ms),
             eligibility: known.eligibility,
             warmth: known.warmth(now_ms),
-            backs_off_ms: upstreams.backs_off(now_ms, &entry.value.id),
+            backs_off_ms: upstreams.remaining_backoff(now_ms, &entry.value.id),
             rate_limit: upstreams.fleet_rate(now_ms, &entry.value.id).map(|limit| RateLimitDump {
                 per_s: limit.rate,
                 age_ms: now_ms.since(limit.since_ms),
--- a/crates/gateway/src/serve/finding.rs
+++ b/crates/gateway/src/serve/finding.rs
@@ -92,15 +92,15 @@
         let upstreams = self.host.upstreams.borrow();
         let is_allowed = match found.held {
             // Of the rate its scheduler took account.
-            Some(_) => upstreams.backs_off(self.host.now_ms(), &found.upstream).is_none(),
+            Some(_) => upstreams.remaining_backoff(self.host.now_ms(), &found.upstream).is_none(),
             None => self.host.may_send(&upstreams, &found.upstream),
         };
-        upstreams.takes_work(&found.upstream) && is_allowed
+        upstreams.accepts_requests(&found.upstream) && is_allowed
     }
 
     fn none_found(&self, counts: &SendingCounts) -> Refusal {
         let upstreams = self.host.upstreams.borrow();
-        let free_in_ms = upstreams.free_in(self.host.now_ms(), &self.service);
+        let free_in_ms = upstreams.next_request_in(self.host.now_ms(), &self.service);
         match (counts.may_have_run() > 0, free_in_ms) {
             (true, _) => Refusal::unknown(Cause::UpstreamFailed),
             (false, Some(free_in_ms)) => Refusal::limited(free_in_ms),
@@ -182,7 +182,7 @@
         let age_ms = now_ms.since(self.request.arrived_ms);
         let left_ms = self.end_ms.since(now_ms);
         let (zone, tried) = (zone.clone(), counts.tried.clone());
-        let backing_off = self.host.upstreams.borrow().backing_off(now_ms, &self.service);
+        let backing_off = self.host.upstreams.borrow().upstreams_in_backoff(now_ms, &self.service);
         move |ticket, cell| Submission {
             ticket,
             cell,
--- a/crates/gateway/src/serve/in_progress.rs
+++ b/crates/gateway/src/serve/in_progress.rs
@@ -45,7 +45,7 @@
         let (host, upstream) = (Rc::clone(host), upstream.clone());
         let sending = InProgress { host, upstream, entry, run, begun_ms, held, is_ended: false };
         match sending.host.upstreams.borrow_mut().get_mut(&sending.upstream) {
-            Some(known) if sending.is_noted_here() => known.note_sent(begun_ms),
+            Some(known) if sending.is_noted_here() => known.record_sent(begun_ms),
             _ => {}
         }
         sending
@@ -97,7 +97,7 @@
         let now_ms = self.host.now_ms();
         let mut upstreams = self.host.upstreams.borrow_mut();
         if let Some(known) = upstreams.get_run_mut(&self.upstream, self.run) {
-            known.note_ended(now_ms, outcome.failure);
+            known.record_ended(now_ms, outcome.failure);
         }
     }
 
@@ -122,7 +122,7 @@
             // A place that is held is given back as it is dropped.
             let mut upstreams = self.host.upstreams.borrow_mut();
             if let Some(known) = upstreams.get_run_mut(&self.upstream, self.run) {
-                known.note_withdrawn();
+                known.record_withdrawn();
             }
         }
     }
--- a/crates/gateway/src/serve/sending.rs
+++ b/crates/gateway/src/serve/sending.rs
@@ -130,7 +130,7 @@
         let (is_other_zone, warmth) = {
             let upstreams = self.host.upstreams.borrow();
             let known = upstreams.get(&found.upstream);
-            (upstreams.is_other_zone(&found.upstream), known.map(|known| known.warmth(now_ms)))
+            (upstreams.is_in_other_zone(&found.upstream), known.map(|known| known.warmth(now_ms)))
         };
         self.host.log.write(&LogEvent::Chosen {
             id: &self.id,
--- a/crates/gateway/tests/backpressure.rs
+++ b/crates/gateway/tests/backpressure.rs
@@ -113,7 +113,7 @@
 fn backs_off_ms(gateway: &Gateway, id: &str) -> Option<u64> {
     let id: UpstreamId = id.parse().unwrap();
     let now_ms = gateway.host().now_ms();
-    gateway.host().upstreams.borrow().backs_off(now_ms, &id).map(|left_ms| left_ms.0)
+    gateway.host().upstreams.borrow().remaining_backoff(now_ms, &id).map(|left_ms| left_ms.0)
 }
 
 /// Hosts draw the time out by up to a tenth.
--- a/crates/gateway/tests/crashing_requests.rs
+++ b/crates/gateway/tests/crashing_requests.rs
@@ -264,7 +264,7 @@
         let is_known = |id: &str| {
             let id: UpstreamId = id.parse().unwrap();
             let host = site.hosts[0].host();
-            !host.upstreams.borrow().get(&id).unwrap().is_avoided(host.now_ms())
+            !host.upstreams.borrow().get(&id).unwrap().is_excluded(host.now_ms())
         };
         until("they are used again", || site.upstreams.iter().all(|u| is_known(u.id()))).await;
         for number in 0..6 {
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -21,7 +21,7 @@
 }
 
 fn count(gateway: &Gateway) -> usize {
-    gateway.host().upstreams.borrow().count(&service())
+    gateway.host().upstreams.borrow().count_eligible(&service())
 }
 
 #[test]
--- a/crates/gateway/tests/scheduling.rs
+++ b/crates/gateway/tests/scheduling.rs
@@ -145,7 +145,7 @@
         until("it arrived", || upstream.seen().len() == 1).await;
         let open = || {
             let upstreams = gateway.host().upstreams.borrow();
-            upstreams.get(&"i-1".parse().unwrap()).unwrap().open()
+            upstreams.get(&"i-1".parse().unwrap()).unwrap().in_flight()
         };
         assert_eq!(open(), 1);
         drop(caller);
--- a/crates/gateway/tests/serving.rs
+++ b/crates/gateway/tests/serving.rs
@@ -161,8 +161,10 @@
         let (gateway, published) = ready(&[&new]).await;
         // `i-1` is still published with the address that `i-2` has now.
         published.write("servers", support::upstream_item("i-1", old.address()));
-        until("it is known", || gateway.host().upstreams.borrow().count(&support::service()) == 2)
-            .await;
+        until("it is known", || {
+            gateway.host().upstreams.borrow().count_eligible(&support::service()) == 2
+        })
+        .await;
         let mut caller = Caller::connect(callers(&gateway)).await;
         for round in 0..10 {
             let got = caller.ask(&post("/once/x", &format!("id-{round}"), "{}")).await;
@@ -342,8 +344,10 @@
         }
         assert!(ill.seen().is_empty());
         published.remove(&"i-2".parse().unwrap());
-        until("it is gone", || gateway.host().upstreams.borrow().count(&support::service()) == 1)
-            .await;
+        until("it is gone", || {
+            gateway.host().upstreams.borrow().count_eligible(&support::service()) == 1
+        })
+        .await;
         assert_eq!(caller.ask(&get("/any/x", "id-9")).await.status, 200);
         assert_eq!(ill.seen().len(), 1);
     });
