--- a/crates/dispatch/src/backpressure.rs
+++ b/crates/dispatch/src/backpressure.rs
@@ -11,7 +11,7 @@
 mod rate_limit;
 mod stated;
 
-pub use message::{BackpressureMessage, ToldBackpressure};
+pub use message::{BackpressureMessage, BackpressureUpdate};
 pub use rate_limit::LimitChange;
 
 use crate::fleet_rate::FleetRate;
@@ -45,7 +45,7 @@
 
 /// What an upstream answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AnswerKind {
+pub enum ResponseKind {
     /// A request that it served. Only these say by a mark that is missing that something is over.
     Served,
     /// A request that it refused or failed.
@@ -76,11 +76,11 @@
 impl BackpressureSet {
     /// A run of an upstream answered this host, which had sent it `sent_before` requests in the second
     /// before.
-    pub fn note(
+    pub fn record(
         &mut self,
         now_ms: Millis,
         at: (&UpstreamId, RunStart),
-        kind: AnswerKind,
+        kind: ResponseKind,
         said: Backpressure,
         sent_before: f64,
     ) -> Option<BackpressureChange> {
@@ -92,7 +92,7 @@
         let for_ms = said.backoff_ms.unwrap_or_default().min(LONGEST_BACKOFF_MS);
         let begins = stated.back_off(now_ms, for_ms);
         let limit = match (kind, said.rate_limit) {
-            (AnswerKind::Failed | AnswerKind::HealthCheck, None) => None,
+            (ResponseKind::Failed | ResponseKind::HealthCheck, None) => None,
             (_, rate) => stated.limit.note(now_ms, rate, sent_before),
         };
         let is_leaving = said.is_leaving && stated.leave(Leaving::Untold);
@@ -102,11 +102,11 @@
     }
 
     /// The same of an answer to another host, which tells the fleet of it.
-    pub fn hear(
+    pub fn record_forwarded(
         &mut self,
         now_ms: Millis,
         at: (&UpstreamId, RunStart),
-        kind: AnswerKind,
+        kind: ResponseKind,
         said: Backpressure,
         sent_before: f64,
     ) {
@@ -120,20 +120,20 @@
         if said.is_leaving {
             stated.leave(Leaving::Told);
         }
-        if kind == AnswerKind::Served || said.rate_limit.is_some() {
+        if kind == ResponseKind::Served || said.rate_limit.is_some() {
             let said_now = Past::ago(now_ms, Millis::ZERO);
             stated.limit.take(now_ms, said_now, said.rate_limit, sent_before);
         }
     }
 
     /// Takes what a peer told; `sent_before` as for [`BackpressureSet::note`].
-    pub fn take(
+    pub fn merge(
         &mut self,
         now_ms: Millis,
-        told: Vec<ToldBackpressure>,
+        told: Vec<BackpressureUpdate>,
         sent_before: impl Fn(&UpstreamId) -> f64,
     ) -> Vec<BackpressureChange> {
-        let take = |told: ToldBackpressure| {
+        let take = |told: BackpressureUpdate| {
             let said = Past::ago(now_ms, told.age_ms);
             let stated = self.of_run((&told.upstream, told.run))?;
             stated.heard_ms = now_ms;
@@ -200,12 +200,12 @@
     }
 
     /// Whether peers are to be told of something.
-    pub fn is_untold(&self) -> bool {
+    pub fn has_pending(&self) -> bool {
         self.stated.values().any(Stated::is_untold)
     }
 
     /// What peers are to be told now; they are taken to hear it.
-    pub fn take_untold(&mut self, now_ms: Millis) -> Vec<ToldBackpressure> {
+    pub fn take_pending(&mut self, now_ms: Millis) -> Vec<BackpressureUpdate> {
         let untold = self.stated.iter_mut().filter_map(|(id, stated)| {
             let is_untold = stated.take_untold();
             is_untold.then(|| stated.tell(now_ms, id))
@@ -214,7 +214,7 @@
     }
 
     /// What a peer that holds something else is told; where that is too much, the latest of it.
-    pub fn tell(&self, now_ms: Millis) -> Vec<ToldBackpressure> {
+    pub fn export(&self, now_ms: Millis) -> Vec<BackpressureUpdate> {
         let mut of_peers: Vec<(&UpstreamId, &Stated)> =
             self.stated.iter().filter(|(_, stated)| stated.concerns_peers()).collect();
         of_peers.sort_by_key(|(id, stated)| (Reverse(stated.heard_ms), *id));
@@ -234,8 +234,8 @@
 
     /// Whether an answer is evidence of anything new. Of an upstream that never said anything
     /// nothing is kept.
-    fn is_evidence(&self, id: &UpstreamId, kind: AnswerKind, said: Backpressure) -> bool {
-        let ends_something = kind == AnswerKind::Served && self.stated.contains_key(id);
+    fn is_evidence(&self, id: &UpstreamId, kind: ResponseKind, said: Backpressure) -> bool {
+        let ends_something = kind == ResponseKind::Served && self.stated.contains_key(id);
         said != Backpressure::default() || ends_something
     }
 
--- a/crates/dispatch/src/backpressure/message.rs
+++ b/crates/dispatch/src/backpressure/message.rs
@@ -10,19 +10,19 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum BackpressureMessage {
     /// What upstreams said.
-    Stated {
+    Update {
         /// Some of them.
-        told: Vec<ToldBackpressure>,
+        updates: Vec<BackpressureUpdate>,
         /// Whether the host that hears it is to pass it on in its availability zone.
-        passes_on: bool,
+        should_relay: bool,
     },
     /// Digest of what holds; whoever holds something else asks for it.
-    Offer {
+    Digest {
         /// The digest.
         digest: u64,
     },
     /// Whoever hears it is to tell what it holds, if that is something else.
-    Ask {
+    Request {
         /// Digest of what the asking host holds.
         digest: u64,
     },
@@ -30,7 +30,7 @@
 
 /// What an upstream said last.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ToldBackpressure {
+pub struct BackpressureUpdate {
     /// Which.
     pub upstream: UpstreamId,
     /// Which run of it.
--- a/crates/dispatch/src/backpressure/stated.rs
+++ b/crates/dispatch/src/backpressure/stated.rs
@@ -1,7 +1,7 @@
 //! What one run of an upstream says of the load that it bears.
 
 use super::rate_limit::RateLimit;
-use super::{Backpressure, ToldBackpressure};
+use super::{Backpressure, BackpressureUpdate};
 use domain::{Millis, UpstreamId};
 use published::RunStart;
 use rustc_hash::FxHasher;
@@ -95,8 +95,8 @@
     }
 
     /// What peers are told of it.
-    pub(super) fn tell(&self, now_ms: Millis, id: &UpstreamId) -> ToldBackpressure {
-        ToldBackpressure {
+    pub(super) fn tell(&self, now_ms: Millis, id: &UpstreamId) -> BackpressureUpdate {
+        BackpressureUpdate {
             upstream: id.clone(),
             run: self.run,
             rate_limit: self.limit.rate(),
--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -8,9 +8,9 @@
 //!   an upstream had is a suspect, so one crash says little. What tells the guilty from the
 //!   bystanders is the sequence: the same request crashes the next upstream, and the next, and is
 //!   never run to its end in between. One that was is cleared, whoever saw it.
-//! - **A suspect of [`TRIAL_CRASHES`]** is sent to one upstream at a time by the whole fleet; the
+//! - **A suspect of [`MIN_CRASHES_FOR_TRIAL`]** is sent to one upstream at a time by the whole fleet; the
 //!   others wait for what comes of it.
-//! - **From [`HELD_CRASHES`] on** it is refused at once, until a time that grows with each
+//! - **From [`MIN_CRASHES_FOR_HOLD`] on** it is refused at once, until a time that grows with each
 //!   further crash has passed, and then tried by one host again.
 //!
 //! Nothing is kept or told while no upstream crashes. In virtual time one such request, three times a
@@ -23,10 +23,10 @@
 mod telling;
 mod verdict;
 
-pub use message::{QuarantineMessage, ToldSuspect};
-pub use report::{Change, Changed, CrashDump, SuspectDump};
+pub use message::{QuarantineMessage, SuspectUpdate};
+pub use report::{CrashDump, SuspectChange, SuspectDump, SuspectStatus};
 pub use suspect::Crash;
-pub use verdict::{Admission, HELD_CRASHES, TRIAL_CRASHES};
+pub use verdict::{Admission, MIN_CRASHES_FOR_HOLD, MIN_CRASHES_FOR_TRIAL};
 
 use domain::{FastMap, Millis, RequestFingerprint};
 use suspect::Suspect;
@@ -65,7 +65,7 @@
     }
 
     /// Requests that are held back now.
-    pub fn held(&self, now_ms: Millis) -> usize {
+    pub fn count_held(&self, now_ms: Millis) -> usize {
         let now_ms = counted(now_ms);
         let is_held = |suspect: &&Suspect| held_until_ms(suspect).is_some_and(|at| now_ms < at);
         self.suspects.values().filter(is_held).count()
@@ -93,14 +93,19 @@
     }
 
     /// An upstream crashed while it ran the request.
-    pub fn note_crash(&mut self, fingerprint: RequestFingerprint, crash: Crash) -> Option<Changed> {
+    pub fn record_crash(
+        &mut self,
+        fingerprint: RequestFingerprint,
+        crash: Crash,
+    ) -> Option<SuspectChange> {
         let suspect = self.suspects.entry(fingerprint).or_default();
         if !suspect.add_crash(crash.later_by(BEFORE_START_MS)) {
             return None;
         }
-        let (changed, crashes) = (Changed::by_crash(fingerprint, suspect), suspect.crashes().len());
+        let (changed, crashes) =
+            (SuspectChange::by_crash(fingerprint, suspect), suspect.crashes().len());
         self.note_doubt(fingerprint);
-        if crashes >= TRIAL_CRASHES {
+        if crashes >= MIN_CRASHES_FOR_TRIAL {
             self.will_tell(fingerprint);
         }
         self.make_room();
@@ -111,7 +116,7 @@
     ///
     /// A first crash is told now only: most that were beside it are served elsewhere and
     /// cleared by then, so a crash of hundreds of upstreams fills no link.
-    pub fn note_over(&mut self, fingerprint: RequestFingerprint) {
+    pub fn record_final_answer(&mut self, fingerprint: RequestFingerprint) {
         let is_new = |suspect: &Suspect| !suspect.crashes().is_empty() && !suspect.is_told();
         if self.suspects.get(&fingerprint).is_some_and(is_new) {
             self.will_tell(fingerprint);
@@ -119,7 +124,11 @@
     }
 
     /// An upstream ran the request to its end, or an operator lifts the verdict on it.
-    pub fn clear(&mut self, now_ms: Millis, fingerprint: RequestFingerprint) -> Option<Changed> {
+    pub fn clear(
+        &mut self,
+        now_ms: Millis,
+        fingerprint: RequestFingerprint,
+    ) -> Option<SuspectChange> {
         let suspect = self.suspects.get_mut(&fingerprint)?;
         if !suspect.clear(counted(now_ms)) {
             return None;
@@ -127,7 +136,7 @@
         match suspect.is_told() {
             true => {
                 self.untold.push(fingerprint);
-                Some(Changed::cleared(fingerprint))
+                Some(SuspectChange::cleared(fingerprint))
             }
             false => {
                 self.suspects.remove(&fingerprint);
@@ -137,7 +146,7 @@
     }
 
     /// Forgets what is over.
-    pub fn settle(&mut self, now_ms: Millis) {
+    pub fn expire(&mut self, now_ms: Millis) {
         let now_ms = counted(now_ms);
         self.suspects.retain(|_, suspect| match held_until_ms(suspect) {
             Some(until_ms) => now_ms.since(until_ms) < FORGET_HELD_MS,
@@ -150,7 +159,7 @@
 
     fn note_doubt(&mut self, fingerprint: RequestFingerprint) {
         let Some(suspect) = self.suspects.get(&fingerprint) else { return };
-        if suspect.crashes().len() != HELD_CRASHES {
+        if suspect.crashes().len() != MIN_CRASHES_FOR_HOLD {
             return;
         }
         let others = self.suspects.iter().filter(|&(&other, _)| other != fingerprint);
--- a/crates/dispatch/src/quarantine/message.rs
+++ b/crates/dispatch/src/quarantine/message.rs
@@ -14,17 +14,17 @@
     /// What is held against requests, and what was cleared.
     Suspects {
         /// Some of them.
-        suspects: Vec<ToldSuspect>,
+        suspects: Vec<SuspectUpdate>,
         /// Whether the host that hears it is to pass it on in its availability zone.
-        passes_on: bool,
+        should_relay: bool,
     },
     /// Digest of what is held; whoever holds something else asks for it.
-    Offer {
+    Digest {
         /// The digest.
         digest: u64,
     },
     /// Whoever hears it is to tell what it holds, if that is something else.
-    Ask {
+    Request {
         /// Digest of what the asking host holds.
         digest: u64,
     },
@@ -32,16 +32,16 @@
 
 /// What is held against one request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldSuspect {
+pub struct SuspectUpdate {
     /// Which.
     pub fingerprint: RequestFingerprint,
-    crashes: Vec<ToldCrash>,
+    crashes: Vec<CrashUpdate>,
     cleared_age_ms: Option<Millis>,
     trial_left_ms: Option<Millis>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct ToldCrash {
+struct CrashUpdate {
     upstream: UpstreamId,
     run: RunStart,
     seen_by: HostId,
@@ -49,20 +49,20 @@
     crashed_age_ms: Millis,
 }
 
-impl ToldSuspect {
+impl SuspectUpdate {
     pub(super) fn of(
         now_ms: Millis,
         fingerprint: RequestFingerprint,
         suspect: &Suspect,
-    ) -> ToldSuspect {
-        let tell = |crash: &Crash| ToldCrash {
+    ) -> SuspectUpdate {
+        let tell = |crash: &Crash| CrashUpdate {
             upstream: crash.upstream.clone(),
             run: crash.run,
             seen_by: crash.seen_by.clone(),
             sent_age_ms: now_ms.since(crash.sent_ms),
             crashed_age_ms: now_ms.since(crash.crashed_ms),
         };
-        ToldSuspect {
+        SuspectUpdate {
             fingerprint,
             crashes: suspect.crashes().iter().map(tell).collect(),
             cleared_age_ms: suspect.cleared_ms().map(|at_ms| now_ms.since(at_ms)),
--- a/crates/dispatch/src/quarantine/report.rs
+++ b/crates/dispatch/src/quarantine/report.rs
@@ -1,7 +1,7 @@
 //! What operators are told of requests that crash upstreams.
 
 use super::suspect::{Crash, Suspect};
-use super::verdict::{HELD_CRASHES, TRIAL_CRASHES, held_until_ms};
+use super::verdict::{MIN_CRASHES_FOR_HOLD, MIN_CRASHES_FOR_TRIAL, held_until_ms};
 use super::{BEFORE_START_MS, Quarantine, counted, importance};
 use domain::{HostId, Millis, RequestFingerprint, UpstreamId};
 use serde::Serialize;
@@ -9,11 +9,11 @@
 
 /// Something changed that operators are told.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Changed {
+pub struct SuspectChange {
     /// Of which request.
     pub fingerprint: RequestFingerprint,
     /// What.
-    pub change: Change,
+    pub status: SuspectStatus,
     /// The crashes that are held against it now.
     pub crashes: Vec<Crash>,
 }
@@ -21,7 +21,7 @@
 /// What changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Change {
+pub enum SuspectStatus {
     /// It is tried by one host at a time.
     Suspected,
     /// It is held back.
@@ -73,22 +73,25 @@
     }
 }
 
-impl Changed {
+impl SuspectChange {
     /// Another crash counts against a request; none if nothing follows from it yet.
-    pub(super) fn by_crash(fingerprint: RequestFingerprint, suspect: &Suspect) -> Option<Changed> {
-        let change = match suspect.crashes().len() {
-            crashes if crashes >= HELD_CRASHES => Change::Held,
-            crashes if crashes >= TRIAL_CRASHES => Change::Suspected,
+    pub(super) fn by_crash(
+        fingerprint: RequestFingerprint,
+        suspect: &Suspect,
+    ) -> Option<SuspectChange> {
+        let status = match suspect.crashes().len() {
+            crashes if crashes >= MIN_CRASHES_FOR_HOLD => SuspectStatus::Held,
+            crashes if crashes >= MIN_CRASHES_FOR_TRIAL => SuspectStatus::Suspected,
             _ => return None,
         };
         let crashes = suspect.crashes().iter().cloned();
         let crashes = crashes.map(|crash| crash.earlier_by(BEFORE_START_MS)).collect();
-        Some(Changed { fingerprint, change, crashes })
+        Some(SuspectChange { fingerprint, status, crashes })
     }
 
     /// Nothing counts against a request any more.
-    pub(super) fn cleared(fingerprint: RequestFingerprint) -> Changed {
-        Changed { fingerprint, change: Change::Cleared, crashes: Vec::new() }
+    pub(super) fn cleared(fingerprint: RequestFingerprint) -> SuspectChange {
+        SuspectChange { fingerprint, status: SuspectStatus::Cleared, crashes: Vec::new() }
     }
 }
 
--- a/crates/dispatch/src/quarantine/telling.rs
+++ b/crates/dispatch/src/quarantine/telling.rs
@@ -1,7 +1,7 @@
 //! What hosts tell each other, when, and what they take from it.
 
-use super::message::ToldSuspect;
-use super::report::Changed;
+use super::message::SuspectUpdate;
+use super::report::SuspectChange;
 use super::suspect::Suspect;
 use super::{Quarantine, counted, importance};
 use domain::{Millis, RequestFingerprint};
@@ -21,14 +21,14 @@
 
 impl Quarantine {
     /// What peers are to be told since the last time; none if nothing.
-    pub fn take_untold(&mut self, now_ms: Millis) -> Option<Vec<ToldSuspect>> {
+    pub fn take_pending(&mut self, now_ms: Millis) -> Option<Vec<SuspectUpdate>> {
         let now_ms = counted(now_ms);
         let mut untold = std::mem::take(&mut self.untold);
         untold.sort_unstable();
         untold.dedup();
         let tell = |fingerprint: RequestFingerprint| {
             let suspect = self.suspects.get(&fingerprint)?;
-            Some(ToldSuspect::of(now_ms, fingerprint, suspect))
+            Some(SuspectUpdate::of(now_ms, fingerprint, suspect))
         };
         // What is past one message is found missing by the digest.
         let told: Vec<_> = untold.into_iter().filter_map(tell).take(TOLD_AT_ONCE).collect();
@@ -36,12 +36,13 @@
     }
 
     /// What a host that holds something else is told: what is held back first.
-    pub fn tell(&self, now_ms: Millis) -> Vec<ToldSuspect> {
+    pub fn export(&self, now_ms: Millis) -> Vec<SuspectUpdate> {
         let now_ms = counted(now_ms);
         let mut all: Vec<_> = self.suspects.iter().filter(|(_, s)| s.is_told()).collect();
         all.sort_by_key(|(_, suspect)| Reverse(importance(suspect)));
         let told = all.into_iter().take(TOLD_AT_ONCE);
-        told.map(|(&fingerprint, suspect)| ToldSuspect::of(now_ms, fingerprint, suspect)).collect()
+        told.map(|(&fingerprint, suspect)| SuspectUpdate::of(now_ms, fingerprint, suspect))
+            .collect()
     }
 
     /// Equal for hosts that hold the same against the same requests.
@@ -56,7 +57,7 @@
     }
 
     /// Digest to offer a peer, if it is time: often while news may still be missing somewhere.
-    pub fn offer(&mut self, now_ms: Millis) -> Option<u64> {
+    pub fn digest_if_due(&mut self, now_ms: Millis) -> Option<u64> {
         let now_ms = counted(now_ms);
         let last_ms = self.suspects.values().map(Suspect::last_ms).max()?;
         let pause_ms = match now_ms.since(last_ms) < SETTLED_MS {
@@ -71,14 +72,14 @@
     }
 
     /// Takes a peer's word.
-    pub fn take(&mut self, now_ms: Millis, told: Vec<ToldSuspect>) -> Vec<Changed> {
+    pub fn merge(&mut self, now_ms: Millis, told: Vec<SuspectUpdate>) -> Vec<SuspectChange> {
         let now_ms = counted(now_ms);
         let changed = told.into_iter().filter_map(|told| self.take_one(now_ms, told)).collect();
         self.make_room();
         changed
     }
 
-    fn take_one(&mut self, now_ms: Millis, told: ToldSuspect) -> Option<Changed> {
+    fn take_one(&mut self, now_ms: Millis, told: SuspectUpdate) -> Option<SuspectChange> {
         let fingerprint = told.fingerprint;
         let suspect = self.suspects.entry(fingerprint).or_default();
         // What this host kept to itself adds up with what the peer saw.
@@ -97,11 +98,11 @@
         }
         match suspect.crashes().len() > before {
             true => {
-                let changed = Changed::by_crash(fingerprint, suspect);
+                let changed = SuspectChange::by_crash(fingerprint, suspect);
                 self.note_doubt(fingerprint);
                 changed
             }
-            false => is_cleared.then(|| Changed::cleared(fingerprint)),
+            false => is_cleared.then(|| SuspectChange::cleared(fingerprint)),
         }
     }
 
--- a/crates/dispatch/src/quarantine/verdict.rs
+++ b/crates/dispatch/src/quarantine/verdict.rs
@@ -5,11 +5,11 @@
 
 /// Crashes in a row from which on a request is sent to one upstream at a time. One crash is
 /// mostly that of a bystander, whose time is running.
-pub const TRIAL_CRASHES: usize = 2;
+pub const MIN_CRASHES_FOR_TRIAL: usize = 2;
 
 /// Crashes in a row from which on a request is held back. Where upstreams end by themselves now and
 /// then, a bystander is in two of their crashes; in three only by the end of a whole service.
-pub const HELD_CRASHES: usize = 3;
+pub const MIN_CRASHES_FOR_HOLD: usize = 3;
 
 /// How long a request is held back: after its third crash, and after each further one. It crashes
 /// one more upstream in a day; an operator lifts it sooner.
@@ -19,7 +19,7 @@
 /// the other by themselves, and what many callers ask for may be on three of them.
 const DOUBTFUL_HOLD_MS: Millis = Millis::from_secs(30);
 
-/// So many others with [`TRIAL_CRASHES`] in a row make a verdict doubtful: beside a request that
+/// So many others with [`MIN_CRASHES_FOR_TRIAL`] in a row make a verdict doubtful: beside a request that
 /// crashes upstreams hardly any is in two of its crashes.
 const DOUBTFUL_OTHERS: usize = 2;
 
@@ -51,7 +51,7 @@
         (Some(until_ms), _) if now_ms < until_ms => {
             Admission::Held { for_ms: until_ms.since(now_ms) }
         }
-        _ if suspect.crashes().len() < TRIAL_CRASHES => Admission::Free,
+        _ if suspect.crashes().len() < MIN_CRASHES_FOR_TRIAL => Admission::Free,
         (_, Some(until_ms)) => Admission::Wait { for_ms: until_ms.since(now_ms) },
         (_, None) => Admission::Trial,
     }
@@ -60,7 +60,7 @@
 /// Time until which a request is held back.
 pub(super) fn held_until_ms(suspect: &Suspect) -> Option<Millis> {
     let crashes = suspect.crashes();
-    let former_holds = crashes.len().checked_sub(HELD_CRASHES)?;
+    let former_holds = crashes.len().checked_sub(MIN_CRASHES_FOR_HOLD)?;
     let hold_ms = match former_holds {
         0 if suspect.is_doubtful() => DOUBTFUL_HOLD_MS,
         _ => HOLDS_MS[former_holds.min(HOLDS_MS.len() - 1)],
@@ -74,7 +74,8 @@
     others: impl Iterator<Item = &'s Suspect>,
 ) -> bool {
     let since_ms = suspect.last_ms() - DOUBTFUL_WITHIN_MS;
-    let is_alike =
-        |other: &&Suspect| other.crashes().len() >= TRIAL_CRASHES && other.last_ms() >= since_ms;
+    let is_alike = |other: &&Suspect| {
+        other.crashes().len() >= MIN_CRASHES_FOR_TRIAL && other.last_ms() >= since_ms
+    };
     others.filter(is_alike).count() >= DOUBTFUL_OTHERS
 }
--- a/crates/dispatch/src/scheduler.rs
+++ b/crates/dispatch/src/scheduler.rs
@@ -144,7 +144,12 @@
             upstreams.record_report(now_ms, (&placed.upstream, placed.run), report);
         }
         let at = (&placed.upstream, placed.run);
-        upstreams.hear_backpressure(now_ms, at, outcome.answer_kind(), outcome.backpressure);
+        upstreams.record_forwarded_backpressure(
+            now_ms,
+            at,
+            outcome.answer_kind(),
+            outcome.backpressure,
+        );
         let Some(known) = upstreams.get_run_mut(&placed.upstream, placed.run) else { return };
         known.record_ended(now_ms, outcome.failure);
         let tells_load = known.report(now_ms).is_some();
--- a/crates/dispatch/src/scheduler/message.rs
+++ b/crates/dispatch/src/scheduler/message.rs
@@ -1,7 +1,7 @@
 //! What hosts and schedulers tell each other.
 
 use super::{Submission, Ticket};
-use crate::backpressure::{AnswerKind, Backpressure};
+use crate::backpressure::{Backpressure, ResponseKind};
 use crate::{AttemptFailure, LoadReport};
 use domain::{Millis, UpstreamId};
 use serde::{Deserialize, Serialize};
@@ -104,10 +104,10 @@
 
 impl Outcome {
     /// What its answer, if one came, is evidence of.
-    pub fn answer_kind(&self) -> AnswerKind {
+    pub fn answer_kind(&self) -> ResponseKind {
         match self.failure {
-            None => AnswerKind::Served,
-            Some(_) => AnswerKind::Failed,
+            None => ResponseKind::Served,
+            Some(_) => ResponseKind::Failed,
         }
     }
 }
--- a/crates/dispatch/src/upstream_set/limits.rs
+++ b/crates/dispatch/src/upstream_set/limits.rs
@@ -2,7 +2,7 @@
 
 use super::UpstreamSet;
 use crate::backpressure::{
-    AnswerKind, Backpressure, BackpressureChange, BackpressureSet, ToldBackpressure,
+    Backpressure, BackpressureChange, BackpressureSet, BackpressureUpdate, ResponseKind,
 };
 use crate::cold::Warmth;
 use crate::fleet_rate::FleetRate;
@@ -82,15 +82,15 @@
     }
 
     /// A run of an upstream answered and said so.
-    pub fn note_backpressure(
+    pub fn record_backpressure(
         &mut self,
         now_ms: Millis,
         (id, run): (&UpstreamId, RunStart),
-        kind: AnswerKind,
+        kind: ResponseKind,
         said: Backpressure,
     ) -> Option<BackpressureChange> {
         let sent_before = self.sent_to(now_ms, (id, run));
-        let change = self.backpressure.note(now_ms, (id, run), kind, said, sent_before);
+        let change = self.backpressure.record(now_ms, (id, run), kind, said, sent_before);
         self.note_leaving(id);
         change
     }
@@ -109,28 +109,28 @@
     }
 
     /// The same of an answer to another host, which tells the fleet of it.
-    pub(crate) fn hear_backpressure(
+    pub(crate) fn record_forwarded_backpressure(
         &mut self,
         now_ms: Millis,
         (id, run): (&UpstreamId, RunStart),
-        kind: AnswerKind,
+        kind: ResponseKind,
         said: Backpressure,
     ) {
         let sent_before = self.sent_to(now_ms, (id, run));
-        self.backpressure.hear(now_ms, (id, run), kind, said, sent_before);
+        self.backpressure.record_forwarded(now_ms, (id, run), kind, said, sent_before);
         self.note_leaving(id);
     }
 
     /// Takes what a peer told of upstreams' backpressure.
-    pub fn take_backpressure(
+    pub fn merge_backpressure(
         &mut self,
         now_ms: Millis,
-        told: Vec<ToldBackpressure>,
+        told: Vec<BackpressureUpdate>,
     ) -> Vec<BackpressureChange> {
         let UpstreamSet { backpressure, known, .. } = self;
         let sent_before =
             |id: &UpstreamId| known.get(id).map_or(0.0, |known| known.recently_sent(now_ms));
-        let changes = backpressure.take(now_ms, told, sent_before);
+        let changes = backpressure.merge(now_ms, told, sent_before);
         changes.iter().for_each(|change| self.note_leaving(&change.upstream));
         changes
     }
--- a/crates/dispatch/tests/backoff.rs
+++ b/crates/dispatch/tests/backoff.rs
@@ -5,7 +5,7 @@
 
 use dispatch::LoadReport;
 use dispatch::UpstreamSet;
-use dispatch::backpressure::{AnswerKind, Backpressure};
+use dispatch::backpressure::{Backpressure, ResponseKind};
 use dispatch::scheduler::{
     Asker, Effect, PlacementMessage, RefusalCause, SchedulerSet, Submission, Ticket,
 };
@@ -30,10 +30,10 @@
 
 /// What an upstream answers, and after how long.
 #[derive(Debug, Clone, Copy)]
-struct Told(u64, AnswerKind, Option<u64>);
+struct Told(u64, ResponseKind, Option<u64>);
 
-const SERVED: AnswerKind = AnswerKind::Served;
-const FAILED: AnswerKind = AnswerKind::Failed;
+const SERVED: ResponseKind = ResponseKind::Served;
+const FAILED: ResponseKind = ResponseKind::Failed;
 
 #[rstest]
 #[case::never(&[Told(0, FAILED, None)], None)]
@@ -51,7 +51,7 @@
     let mut set = set(&[entry("i-1", "kariakoo")]);
     for Told(after_ms, kind, backoff_ms) in told {
         let (at_ms, said) = (NOW + Millis(*after_ms), asks_for(*backoff_ms));
-        set.note_backpressure(at_ms, (&id("i-1"), RUN), *kind, said);
+        set.record_backpressure(at_ms, (&id("i-1"), RUN), *kind, said);
     }
     assert_eq!(left(&set, 500), wanted);
 }
@@ -62,13 +62,13 @@
     let mut note = |after_ms| {
         let at = (&id("i-1"), RUN);
         let changed =
-            set.note_backpressure(NOW + Millis(after_ms), at, FAILED, asks_for(Some(900)));
+            set.record_backpressure(NOW + Millis(after_ms), at, FAILED, asks_for(Some(900)));
         changed.and_then(|changed| changed.backoff_ms)
     };
     assert_eq!(note(0), Some(Millis(900)));
     assert_eq!(note(10), None);
     assert_eq!(note(2_000), Some(Millis(900)));
-    assert!(!set.backpressure().is_untold());
+    assert!(!set.backpressure().has_pending());
     assert_eq!(set.backpressure().digest(), 0);
 }
 
@@ -76,7 +76,7 @@
 fn a_run_that_begins_is_not_the_one_that_asked() {
     let mut set = set(&[of_run("i-1", 100)]);
     let run = RunStart(Some(Millis(100)));
-    set.note_backpressure(NOW, (&id("i-1"), run), FAILED, asks_for(Some(3_000)));
+    set.record_backpressure(NOW, (&id("i-1"), run), FAILED, asks_for(Some(3_000)));
     assert_eq!(left(&set, 0), Some(3_000));
     set.sync(NOW, [of_run("i-1", 200)].iter(), &Evacuations::default());
     assert_eq!(left(&set, 0), None);
@@ -85,7 +85,7 @@
 #[test]
 fn an_entry_that_lapses_and_is_back_is_still_left_alone() {
     let mut set = set(&[entry("i-1", "kariakoo")]);
-    set.note_backpressure(NOW, (&id("i-1"), RUN), FAILED, asks_for(Some(9_000)));
+    set.record_backpressure(NOW, (&id("i-1"), RUN), FAILED, asks_for(Some(9_000)));
     set.sync(NOW, [].iter(), &Evacuations::default());
     set.forget_backpressure(NOW + Millis(2_000));
     set.sync(NOW, [entry("i-1", "kariakoo")].iter(), &Evacuations::default());
@@ -99,7 +99,7 @@
     let names = ["i-1", "i-2"];
     let mut set = set(&names.map(|name| entry(name, "kariakoo")));
     for (name, backoff_ms) in names.iter().zip(asked) {
-        set.note_backpressure(NOW, (&id(name), RUN), FAILED, asks_for(*backoff_ms));
+        set.record_backpressure(NOW, (&id(name), RUN), FAILED, asks_for(*backoff_ms));
     }
     let free_in = set.next_request_in(NOW, &"parts".parse().unwrap());
     assert_eq!(free_in, wanted.map(Millis));
@@ -203,7 +203,7 @@
 fn where_a_rate_is_all_there_is_nobody_waits_in_vain() {
     let mut play = Play::new(&["i-1"]);
     let limited = Backpressure { rate_limit: Some(PerSecond(2.0)), ..Backpressure::default() };
-    play.upstreams.note_backpressure(NOW, (&id("i-1"), RUN), SERVED, limited);
+    play.upstreams.record_backpressure(NOW, (&id("i-1"), RUN), SERVED, limited);
     let at = |play: &mut Play, after_ms: u64| {
         play.now_ms = NOW + Millis(after_ms);
         play.tell("i-1", IDLE);
--- a/crates/dispatch/tests/leaving.rs
+++ b/crates/dispatch/tests/leaving.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use dispatch::UpstreamSet;
-use dispatch::backpressure::{AnswerKind, Backpressure};
+use dispatch::backpressure::{Backpressure, ResponseKind};
 use domain::Millis;
 use published::{Eligibility, Entry, Evacuations, RunStart, Upstream, UpstreamMode};
 use rstest::rstest;
@@ -25,19 +25,19 @@
 }
 
 #[rstest]
-#[case::served(AnswerKind::Served)]
-#[case::failed(AnswerKind::Failed)]
-#[case::health_check(AnswerKind::HealthCheck)]
-fn any_answer_says_so_and_none_takes_it_back(#[case] kind: AnswerKind) {
+#[case::served(ResponseKind::Served)]
+#[case::failed(ResponseKind::Failed)]
+#[case::health_check(ResponseKind::HealthCheck)]
+fn any_answer_says_so_and_none_takes_it_back(#[case] kind: ResponseKind) {
     let mut set = set(&[entry("i-1", "kariakoo")]);
     let at = (&id("i-1"), RUN);
-    let changed = set.note_backpressure(NOW, at, kind, LEAVES).unwrap();
+    let changed = set.record_backpressure(NOW, at, kind, LEAVES).unwrap();
     assert!(changed.is_leaving);
     assert_eq!(eligibility(&set), Some(Eligibility::SaysLeaving));
     assert!(!set.accepts_requests(&id("i-1")));
-    let later = set.note_backpressure(NOW, at, AnswerKind::Served, Backpressure::default());
+    let later = set.record_backpressure(NOW, at, ResponseKind::Served, Backpressure::default());
     assert!(later.is_none());
-    assert_eq!(set.note_backpressure(NOW, at, kind, LEAVES), None, "it is told once");
+    assert_eq!(set.record_backpressure(NOW, at, kind, LEAVES), None, "it is told once");
     assert!(!set.accepts_requests(&id("i-1")));
 }
 
@@ -53,7 +53,7 @@
     #[case] wanted: Option<Eligibility>,
 ) {
     let mut set = set(&[entry("i-1", "kariakoo")]);
-    set.note_backpressure(NOW, (&id("i-1"), RUN), AnswerKind::Served, LEAVES);
+    set.record_backpressure(NOW, (&id("i-1"), RUN), ResponseKind::Served, LEAVES);
     sync(&mut set, entries);
     assert_eq!(eligibility(&set), wanted);
     set.forget_backpressure(NOW + Millis(30_000));
@@ -65,11 +65,11 @@
 fn a_later_run_under_its_id_is_not_leaving() {
     let mut set = set(&[of_run("i-1", 100)]);
     let run = RunStart(Some(Millis(100)));
-    set.note_backpressure(NOW, (&id("i-1"), run), AnswerKind::Served, LEAVES);
+    set.record_backpressure(NOW, (&id("i-1"), run), ResponseKind::Served, LEAVES);
     sync(&mut set, &[of_run("i-1", 200)]);
     assert_eq!(eligibility(&set), Some(Eligibility::Eligible));
     // A late answer of the former run.
-    set.note_backpressure(NOW, (&id("i-1"), run), AnswerKind::Served, LEAVES);
+    set.record_backpressure(NOW, (&id("i-1"), run), ResponseKind::Served, LEAVES);
     assert_eq!(eligibility(&set), Some(Eligibility::Eligible));
 }
 
@@ -77,16 +77,16 @@
 fn peers_are_told_once_and_hold_the_same() {
     let (mut telling, mut hearing) =
         (set(&[entry("i-1", "kariakoo")]), set(&[entry("i-1", "kariakoo")]));
-    telling.note_backpressure(NOW, (&id("i-1"), RUN), AnswerKind::Served, LEAVES);
-    let told = telling.backpressure_mut().take_untold(NOW);
+    telling.record_backpressure(NOW, (&id("i-1"), RUN), ResponseKind::Served, LEAVES);
+    let told = telling.backpressure_mut().take_pending(NOW);
     assert_eq!(told.len(), 1);
-    assert!(telling.backpressure_mut().take_untold(NOW).is_empty());
+    assert!(telling.backpressure_mut().take_pending(NOW).is_empty());
     // A clock that has just started: what was said is older than it.
-    let changed = hearing.take_backpressure(Millis(5), told.clone());
+    let changed = hearing.merge_backpressure(Millis(5), told.clone());
     assert!(changed.iter().any(|change| change.is_leaving));
     assert!(!hearing.accepts_requests(&id("i-1")));
-    assert!(!hearing.backpressure().is_untold());
-    assert!(hearing.take_backpressure(Millis(5), told).is_empty());
+    assert!(!hearing.backpressure().has_pending());
+    assert!(hearing.merge_backpressure(Millis(5), told).is_empty());
     assert_eq!(telling.backpressure().digest(), hearing.backpressure().digest());
 }
 
--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -1,7 +1,7 @@
 //! What is held against a request that upstreams crashed under, and what clears it.
 #![allow(clippy::unwrap_used)]
 
-use dispatch::quarantine::{Admission, Crash, Quarantine, ToldSuspect};
+use dispatch::quarantine::{Admission, Crash, Quarantine, SuspectUpdate};
 use domain::{Millis, RequestFingerprint};
 use published::RunStart;
 use rand::SeedableRng;
@@ -28,7 +28,7 @@
 fn after(crashes: &[Crash]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for crash in crashes {
-        quarantine.note_crash(REQUEST, crash.clone());
+        quarantine.record_crash(REQUEST, crash.clone());
     }
     quarantine
 }
@@ -82,12 +82,12 @@
 #[test]
 fn an_answer_clears_it() {
     let mut quarantine = after(&three());
-    let told = quarantine.take_untold(Millis(450)).unwrap();
+    let told = quarantine.take_pending(Millis(450)).unwrap();
     assert!(quarantine.clear(Millis(460), REQUEST).is_some());
     assert_eq!(quarantine.admit(Millis(500), REQUEST), Admission::Free);
-    quarantine.take(Millis(460), told);
+    quarantine.merge(Millis(460), told);
     assert_eq!(quarantine.admit(Millis(500), REQUEST), Admission::Free);
-    quarantine.note_crash(REQUEST, crash("i-4", 470, 490));
+    quarantine.record_crash(REQUEST, crash("i-4", 470, 490));
     assert_eq!(quarantine.admit(Millis(500), REQUEST), Admission::Free, "it begins anew");
 }
 
@@ -96,7 +96,7 @@
 fn one_host_tries_it_at_a_time() {
     let (mut own, mut other) = (after(&three()[..2]), Quarantine::default());
     own.begin_trial(REQUEST, Millis(900));
-    other.take(Millis(300), own.take_untold(Millis(300)).unwrap());
+    other.merge(Millis(300), own.take_pending(Millis(300)).unwrap());
     let wait = Admission::Wait { for_ms: Millis(500) };
     assert_eq!(other.admit(Millis(400), REQUEST), wait);
     assert_eq!(own.admit(Millis(400), REQUEST), wait);
@@ -114,11 +114,11 @@
     let day_ms = Millis::from_secs(24 * 3_600);
     while now_ms < day_ms {
         now_ms = now_ms + Millis(1_000);
-        quarantine.settle(now_ms);
+        quarantine.expire(now_ms);
         if quarantine.admit(now_ms, REQUEST) == Admission::Trial {
             tried.push(now_ms.0 / 1_000);
             let upstream = format!("i-{}", now_ms.0);
-            quarantine.note_crash(REQUEST, crash(&upstream, now_ms.0, now_ms.0 + 50));
+            quarantine.record_crash(REQUEST, crash(&upstream, now_ms.0, now_ms.0 + 50));
         }
     }
     assert_eq!(tried, [14_400]);
@@ -133,10 +133,10 @@
     let mut quarantine = Quarantine::default();
     for other in 0..others {
         for crash in &three()[..2] {
-            quarantine.note_crash(RequestFingerprint(100 + other), crash.clone());
+            quarantine.record_crash(RequestFingerprint(100 + other), crash.clone());
         }
     }
-    three().into_iter().for_each(|crash| drop(quarantine.note_crash(REQUEST, crash)));
+    three().into_iter().for_each(|crash| drop(quarantine.record_crash(REQUEST, crash)));
     let held = Admission::Held { for_ms: hold_ms - Millis(100) };
     assert_eq!(quarantine.admit(Millis(500), REQUEST), held);
 }
@@ -144,12 +144,12 @@
 /// Whatever is lost, doubled, late or out of order: who has heard it all holds the same.
 #[test]
 fn the_order_of_messages_does_not_matter() {
-    let told: Vec<Vec<ToldSuspect>> = three()
+    let told: Vec<Vec<SuspectUpdate>> = three()
         .into_iter()
         .map(|crash| {
             let mut seen = after(&[crash]);
-            seen.note_over(REQUEST);
-            seen.take_untold(Millis(500)).unwrap()
+            seen.record_final_answer(REQUEST);
+            seen.take_pending(Millis(500)).unwrap()
         })
         .collect();
     for seed in 0..50 {
@@ -158,7 +158,7 @@
         messages.shuffle(&mut rng);
         let mut quarantine = Quarantine::default();
         for message in messages {
-            quarantine.take(Millis(500), message);
+            quarantine.merge(Millis(500), message);
         }
         let held = Admission::Held { for_ms: HOLD - Millis(100) };
         assert_eq!(quarantine.admit(Millis(500), REQUEST), held, "seed {seed}");
@@ -169,16 +169,16 @@
 #[test]
 fn crashes_before_the_start_count() {
     let mut told = after(&three());
-    let told = told.take_untold(Millis(10_000)).unwrap();
+    let told = told.take_pending(Millis(10_000)).unwrap();
     let mut later = Quarantine::default();
-    later.take(Millis(2), told.clone());
+    later.merge(Millis(2), told.clone());
     let held = Admission::Held { for_ms: HOLD - Millis(9_600) };
     assert_eq!(later.admit(Millis(2), REQUEST), held);
     let mut twice = Quarantine::default();
     let mut two = after(&three()[..2]);
-    let two = two.take_untold(Millis(10_000)).unwrap();
-    twice.take(Millis(2), two.clone());
-    twice.take(Millis(3), two);
+    let two = two.take_pending(Millis(10_000)).unwrap();
+    twice.merge(Millis(2), two.clone());
+    twice.merge(Millis(3), two);
     assert_eq!(twice.admit(Millis(4), REQUEST), Admission::Trial);
 }
 
@@ -186,12 +186,12 @@
 #[test]
 fn what_a_host_missed_shows_in_the_digest() {
     let mut knows = after(&three());
-    knows.take_untold(Millis(500));
+    knows.take_pending(Millis(500));
     let mut missed = Quarantine::default();
     assert_ne!(knows.digest(), missed.digest());
-    missed.take(Millis(600), knows.tell(Millis(600)));
+    missed.merge(Millis(600), knows.export(Millis(600)));
     assert_eq!(knows.digest(), missed.digest());
-    assert_eq!(missed.held(Millis(600)), 1);
+    assert_eq!(missed.count_held(Millis(600)), 1);
     missed.clear(Millis(700), REQUEST);
     assert_ne!(knows.digest(), missed.digest());
 }
@@ -200,25 +200,25 @@
 #[test]
 fn bystanders_are_not_told() {
     let mut quarantine = after(&[crash("i-1", 0, 100)]);
-    assert!(quarantine.take_untold(Millis(110)).is_none());
+    assert!(quarantine.take_pending(Millis(110)).is_none());
     assert_eq!(quarantine.digest(), Quarantine::default().digest());
     assert!(quarantine.clear(Millis(200), REQUEST).is_none());
-    assert!(quarantine.take_untold(Millis(210)).is_none());
+    assert!(quarantine.take_pending(Millis(210)).is_none());
     assert!(quarantine.is_empty());
     let mut quarantine = after(&[crash("i-1", 0, 100)]);
-    quarantine.note_over(REQUEST);
-    assert_eq!(quarantine.take_untold(Millis(110)).unwrap().len(), 1);
+    quarantine.record_final_answer(REQUEST);
+    assert_eq!(quarantine.take_pending(Millis(110)).unwrap().len(), 1);
 }
 
 /// A first crash that was kept back is told once a peer accuses the same request.
 #[test]
 fn what_was_kept_back_adds_up_with_what_a_peer_saw() {
     let mut own = after(&three()[..1]);
-    assert!(own.take_untold(Millis(410)).is_none());
+    assert!(own.take_pending(Millis(410)).is_none());
     let mut peer = after(&three()[1..]);
-    own.take(Millis(410), peer.take_untold(Millis(410)).unwrap());
+    own.merge(Millis(410), peer.take_pending(Millis(410)).unwrap());
     assert!(matches!(own.admit(Millis(420), REQUEST), Admission::Held { .. }));
-    peer.take(Millis(420), own.take_untold(Millis(420)).unwrap());
+    peer.merge(Millis(420), own.take_pending(Millis(420)).unwrap());
     assert!(matches!(peer.admit(Millis(430), REQUEST), Admission::Held { .. }));
 }
 
@@ -229,7 +229,7 @@
     for number in 0..20_000 {
         let other = RequestFingerprint(1_000 + number);
         let at_ms = 1_000 + u64::try_from(number).unwrap();
-        quarantine.note_crash(other, crash("i-9", at_ms, at_ms + 10));
+        quarantine.record_crash(other, crash("i-9", at_ms, at_ms + 10));
     }
     assert!(quarantine.dump(Millis(22_000)).len() <= 1_024);
     assert!(matches!(quarantine.admit(Millis(22_000), REQUEST), Admission::Held { .. }));
@@ -239,8 +239,8 @@
 #[test]
 fn it_is_forgotten_in_the_end() {
     let mut quarantine = after(&three()[..2]);
-    quarantine.settle(Millis::from_secs(3_000));
+    quarantine.expire(Millis::from_secs(3_000));
     assert_eq!(quarantine.admit(Millis::from_secs(3_000), REQUEST), Admission::Trial);
-    quarantine.settle(Millis::from_secs(3_700));
+    quarantine.expire(Millis::from_secs(3_700));
     assert!(quarantine.is_empty());
 }
--- a/crates/dispatch/tests/rate_limit.rs
+++ b/crates/dispatch/tests/rate_limit.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use dispatch::UpstreamSet;
-use dispatch::backpressure::{AnswerKind, Backpressure, LimitChange};
+use dispatch::backpressure::{Backpressure, LimitChange, ResponseKind};
 use domain::{Millis, PerSecond};
 use published::{Evacuations, RunStart};
 use rstest::rstest;
@@ -23,11 +23,11 @@
 
 /// What an upstream answers.
 #[derive(Debug, Clone, Copy)]
-struct Told(AnswerKind, Option<f64>);
+struct Told(ResponseKind, Option<f64>);
 
-const SERVED: AnswerKind = AnswerKind::Served;
-const FAILED: AnswerKind = AnswerKind::Failed;
-const CHECKED: AnswerKind = AnswerKind::HealthCheck;
+const SERVED: ResponseKind = ResponseKind::Served;
+const FAILED: ResponseKind = ResponseKind::Failed;
+const CHECKED: ResponseKind = ResponseKind::HealthCheck;
 
 #[rstest]
 #[case::never(&[Told(SERVED, None)], None)]
@@ -46,7 +46,7 @@
 ) {
     let mut set = set(&[entry("i-1", "kariakoo")]);
     for (after_ms, Told(kind, rate)) in (0..).zip(told) {
-        set.note_backpressure(NOW + Millis(after_ms), (&id("i-1"), RUN), *kind, says(*rate));
+        set.record_backpressure(NOW + Millis(after_ms), (&id("i-1"), RUN), *kind, says(*rate));
     }
     assert_eq!(limit(&set), wanted);
 }
@@ -55,7 +55,7 @@
 fn what_changes_is_told_once() {
     let mut set = set(&[entry("i-1", "kariakoo")]);
     let mut note = |rate| {
-        set.note_backpressure(NOW, (&id("i-1"), RUN), SERVED, says(rate)).and_then(|it| it.limit)
+        set.record_backpressure(NOW, (&id("i-1"), RUN), SERVED, says(rate)).and_then(|it| it.limit)
     };
     assert_eq!(note(Some(2.0)), Some(LimitChange::Began(PerSecond(2.0))));
     assert_eq!(note(Some(2.0)), None);
@@ -69,19 +69,19 @@
 fn a_later_run_says_nothing_of_the_former_and_the_other_way_round() {
     let mut set = set(&[of_run("i-1", 100)]);
     let at = |start_ms| RunStart(Some(Millis(start_ms)));
-    set.note_backpressure(NOW, (&id("i-1"), at(100)), SERVED, says(Some(2.0)));
+    set.record_backpressure(NOW, (&id("i-1"), at(100)), SERVED, says(Some(2.0)));
     assert_eq!(limit(&set), Some(2.0));
     set.sync(NOW, [of_run("i-1", 200)].iter(), &Evacuations::default());
     assert_eq!(limit(&set), None);
-    set.note_backpressure(NOW, (&id("i-1"), at(200)), SERVED, says(Some(3.0)));
-    set.note_backpressure(NOW, (&id("i-1"), at(100)), SERVED, says(Some(1.0)));
+    set.record_backpressure(NOW, (&id("i-1"), at(200)), SERVED, says(Some(3.0)));
+    set.record_backpressure(NOW, (&id("i-1"), at(100)), SERVED, says(Some(1.0)));
     assert_eq!(limit(&set), Some(3.0));
 }
 
 #[test]
 fn an_entry_that_lapses_and_is_back_is_still_limited() {
     let mut set = set(&[entry("i-1", "kariakoo")]);
-    set.note_backpressure(NOW, (&id("i-1"), RUN), SERVED, says(Some(2.0)));
+    set.record_backpressure(NOW, (&id("i-1"), RUN), SERVED, says(Some(2.0)));
     set.sync(NOW, [].iter(), &Evacuations::default());
     set.forget_backpressure(NOW + Millis(5_000));
     set.sync(NOW, [entry("i-1", "kariakoo")].iter(), &Evacuations::default());
@@ -105,27 +105,27 @@
     for &(age_ms, rate) in ages_and_words {
         let mut telling = set(&[entry("i-1", "kariakoo")]);
         let said_ms = NOW - Millis(age_ms);
-        telling.note_backpressure(said_ms, (&id("i-1"), RUN), SERVED, says(Some(9.0)));
-        telling.note_backpressure(said_ms, (&id("i-1"), RUN), SERVED, says(rate));
-        let told = telling.backpressure_mut().take_untold(NOW);
+        telling.record_backpressure(said_ms, (&id("i-1"), RUN), SERVED, says(Some(9.0)));
+        telling.record_backpressure(said_ms, (&id("i-1"), RUN), SERVED, says(rate));
+        let told = telling.backpressure_mut().take_pending(NOW);
         assert_eq!(told.len(), 1);
-        hearing.take_backpressure(NOW, told);
+        hearing.merge_backpressure(NOW, told);
     }
     assert_eq!(limit(&hearing), wanted);
-    assert!(!hearing.backpressure().is_untold(), "who was told tells nobody");
+    assert!(!hearing.backpressure().has_pending(), "who was told tells nobody");
 }
 
 #[test]
 fn hosts_that_hold_the_same_have_the_same_digest() {
     let (mut one, mut other) = (set(&[entry("i-1", "kariakoo")]), set(&[entry("i-1", "kariakoo")]));
     assert_eq!(one.backpressure().digest(), 0);
-    one.note_backpressure(NOW, (&id("i-1"), RUN), SERVED, says(Some(2.0)));
+    one.record_backpressure(NOW, (&id("i-1"), RUN), SERVED, says(Some(2.0)));
     assert_ne!(one.backpressure().digest(), 0);
-    other.take_backpressure(NOW, one.backpressure().tell(NOW));
+    other.merge_backpressure(NOW, one.backpressure().export(NOW));
     assert_eq!(one.backpressure().digest(), other.backpressure().digest());
-    one.note_backpressure(NOW + Millis(1), (&id("i-1"), RUN), SERVED, says(None));
+    one.record_backpressure(NOW + Millis(1), (&id("i-1"), RUN), SERVED, says(None));
     assert_eq!(one.backpressure().digest(), 0);
-    other.take_backpressure(NOW + Millis(1), one.backpressure().tell(NOW + Millis(1)));
+    other.merge_backpressure(NOW + Millis(1), one.backpressure().export(NOW + Millis(1)));
     assert_eq!(other.backpressure().digest(), 0);
 }
 
@@ -133,9 +133,9 @@
 fn a_service_whose_upstreams_are_all_limited_says_when_it_takes_the_next() {
     let mut set = set(&[entry("i-1", "kariakoo"), entry("i-2", "temeke")]);
     let parts = "parts".parse().unwrap();
-    set.note_backpressure(NOW, (&id("i-1"), RUN), SERVED, says(Some(2.0)));
+    set.record_backpressure(NOW, (&id("i-1"), RUN), SERVED, says(Some(2.0)));
     assert_eq!(set.next_request_in(NOW, &parts), None);
-    set.note_backpressure(NOW, (&id("i-2"), RUN), SERVED, says(Some(3.0)));
+    set.record_backpressure(NOW, (&id("i-2"), RUN), SERVED, says(Some(3.0)));
     assert_eq!(set.next_request_in(NOW, &parts), Some(Millis(200)));
 }
 
@@ -148,9 +148,9 @@
     for (after_ms, name) in (0..).zip(&names) {
         let (at_ms, said) = (NOW + Millis(after_ms), says((after_ms % 2 == 0).then_some(2.0)));
         let refused = Backpressure { backoff_ms: Some(Millis(900)), ..said };
-        set.note_backpressure(at_ms, (&id(name), RUN), FAILED, refused);
+        set.record_backpressure(at_ms, (&id(name), RUN), FAILED, refused);
     }
-    let told = set.backpressure().tell(NOW + Millis(300));
+    let told = set.backpressure().export(NOW + Millis(300));
     assert_eq!(told.len(), 128);
     assert!(told.iter().all(|told| told.rate_limit.is_some()), "a backoff is nobody else's");
     assert_eq!(told[0].upstream, id("i-298"));
@@ -161,9 +161,9 @@
 fn what_is_over_is_forgotten_though_requests_go_on() {
     let mut set = set(&[entry("i-1", "kariakoo")]);
     let at = (&id("i-1"), RUN);
-    set.note_backpressure(NOW, at, SERVED, says(Some(2.0)));
+    set.record_backpressure(NOW, at, SERVED, says(Some(2.0)));
     for second in 1..62 {
-        set.note_backpressure(NOW + Millis(second * 1_000), at, SERVED, says(None));
+        set.record_backpressure(NOW + Millis(second * 1_000), at, SERVED, says(None));
     }
     set.forget_backpressure(NOW + Millis(62_000));
     assert!(set.backpressure().is_empty());
--- a/crates/dispatch/tests/support/crashing.rs
+++ b/crates/dispatch/tests/support/crashing.rs
@@ -1,6 +1,6 @@
 //! A fleet in virtual time before a service that one request crashes again and again.
 
-use dispatch::quarantine::{Admission, Crash, Quarantine, ToldSuspect};
+use dispatch::quarantine::{Admission, Crash, Quarantine, SuspectUpdate};
 use domain::{Millis, RequestFingerprint};
 use published::RunStart;
 use rand::seq::IndexedRandom;
@@ -84,7 +84,7 @@
     Arrives(Job),
     Told {
         to: usize,
-        suspects: Vec<ToldSuspect>,
+        suspects: Vec<SuspectUpdate>,
     },
     Offers,
     AllLost,
@@ -192,7 +192,7 @@
             Event::Looked { crash, job } => self.looked(crash, job),
             Event::Arrives(job) => self.send(job),
             Event::Told { to, suspects } => {
-                self.hosts[to].take(Millis(self.now), suspects);
+                self.hosts[to].merge(Millis(self.now), suspects);
             }
             Event::Offers => {
                 self.plan(500, Event::Offers);
@@ -287,7 +287,7 @@
 
     fn looked(&mut self, crash: Crash, job: Job) {
         if self.play.has_quarantine {
-            self.hosts[job.host].note_crash(job.request, crash);
+            self.hosts[job.host].record_crash(job.request, crash);
             self.tell(job.host);
         }
         match job.sent < ATTEMPTS {
@@ -298,7 +298,7 @@
 
     /// The caller gets a failure, and comes again through another host.
     fn fail(&mut self, job: Job) {
-        self.hosts[job.host].note_over(job.request);
+        self.hosts[job.host].record_final_answer(job.request);
         self.tell(job.host);
         if job.tries == 0 {
             self.outcome.others_failed += u32::from(job.request != GUILTY);
@@ -309,14 +309,14 @@
     }
 
     fn tell(&mut self, from: usize) {
-        let untold = self.hosts[from].take_untold(Millis(self.now));
+        let untold = self.hosts[from].take_pending(Millis(self.now));
         let Some(suspects) = untold else { return };
         for to in (0..self.hosts.len()).filter(|&to| to != from) {
             self.tell_one(to, suspects.clone());
         }
     }
 
-    fn tell_one(&mut self, to: usize, suspects: Vec<ToldSuspect>) {
+    fn tell_one(&mut self, to: usize, suspects: Vec<SuspectUpdate>) {
         self.outcome.messages += 1;
         if self.rng.random::<f64>() >= self.play.lost {
             let after_ms = self.rng.random_range(1..6);
@@ -330,7 +330,7 @@
             let to = self.rng.random_range(0..self.hosts.len());
             let (told, held) = (self.hosts[from].digest(), self.hosts[to].digest());
             if !self.hosts[from].is_empty() && told != held {
-                let suspects = self.hosts[from].tell(Millis(self.now));
+                let suspects = self.hosts[from].export(Millis(self.now));
                 self.tell_one(to, suspects);
             }
         }
--- a/crates/dispatch/tests/support/rate_site.rs
+++ b/crates/dispatch/tests/support/rate_site.rs
@@ -5,7 +5,7 @@
 mod saying;
 
 use super::submission;
-use dispatch::backpressure::ToldBackpressure;
+use dispatch::backpressure::BackpressureUpdate;
 use dispatch::scheduler::{
     Asker, Cell, Directory, Effect, Outcome, PlacementMessage, Submission, Ticket, Withdrawal,
 };
@@ -92,8 +92,8 @@
     Asked { by: usize, run: u64, upstream: UpstreamId },
     Unheard { host: usize, ticket: u64 },
     Done { upstream: UpstreamId, host: usize, placed: Option<(usize, Ticket)> },
-    Told { to: usize, told: Vec<ToldBackpressure> },
-    TellAgain { host: usize, told: Vec<ToldBackpressure>, age_ms: Millis },
+    Told { to: usize, told: Vec<BackpressureUpdate> },
+    TellAgain { host: usize, told: Vec<BackpressureUpdate>, age_ms: Millis },
     AskPeer { host: usize },
 }
 
@@ -359,10 +359,10 @@
                 }
             }
             Event::Told { to, told } if self.is_up(to) => {
-                self.hosts[to].upstreams.take_backpressure(now_ms, told);
+                self.hosts[to].upstreams.merge_backpressure(now_ms, told);
             }
             Event::TellAgain { host, told, age_ms } if self.is_up(host) => {
-                let later = |told: ToldBackpressure| ToldBackpressure {
+                let later = |told: BackpressureUpdate| BackpressureUpdate {
                     age_ms: told.age_ms + age_ms,
                     ..told
                 };
@@ -372,7 +372,7 @@
             Event::AskPeer { host } if self.is_up(host) => {
                 for next in 1..=ASKED_PEERS {
                     let peer = (host + next) % self.hosts.len();
-                    let told = self.hosts[peer].upstreams.backpressure().tell(now_ms);
+                    let told = self.hosts[peer].upstreams.backpressure().export(now_ms);
                     self.push(2 * WAY_MS, Event::Told { to: host, told });
                 }
             }
--- a/crates/dispatch/tests/support/rate_site/saying.rs
+++ b/crates/dispatch/tests/support/rate_site/saying.rs
@@ -2,7 +2,7 @@
 
 use super::super::id;
 use super::{Event, Harm, OFFER_EACH_MS, Play, Reason, TELL_AGAIN_MS, WAY_MS};
-use dispatch::backpressure::{Backpressure, ToldBackpressure};
+use dispatch::backpressure::{Backpressure, BackpressureUpdate};
 use dispatch::scheduler::Outcome;
 use domain::{Millis, PerSecond, UpstreamId};
 use published::RunStart;
@@ -48,8 +48,8 @@
             reached.told.entry(host).or_insert(self.now_ms);
         }
         let upstreams = &mut self.hosts[host].upstreams;
-        upstreams.note_backpressure(now_ms, at, outcome.answer_kind(), outcome.backpressure);
-        let told = upstreams.backpressure_mut().take_untold(now_ms);
+        upstreams.record_backpressure(now_ms, at, outcome.answer_kind(), outcome.backpressure);
+        let told = upstreams.backpressure_mut().take_pending(now_ms);
         if !told.is_empty() {
             self.tell_all(host, &told);
             for after_ms in TELL_AGAIN_MS {
@@ -59,7 +59,7 @@
         }
     }
 
-    pub(super) fn tell_all(&mut self, host: usize, told: &[ToldBackpressure]) {
+    pub(super) fn tell_all(&mut self, host: usize, told: &[BackpressureUpdate]) {
         for to in (0..self.hosts.len()).filter(|&to| to != host) {
             self.carry(host, to, || Event::Told { to, told: told.to_vec() });
         }
@@ -75,7 +75,7 @@
             let digest = |at: usize| self.hosts[at].upstreams.backpressure().digest();
             let arrives = self.site.harm != Harm::Lossy || self.rng.random_bool(0.5);
             if self.is_up(host) && arrives && digest(host) != digest(to) {
-                let told = self.hosts[host].upstreams.backpressure().tell(Millis(self.now_ms));
+                let told = self.hosts[host].upstreams.backpressure().export(Millis(self.now_ms));
                 if self.reaches(host, to) {
                     self.push(3 * WAY_MS, Event::Told { to, told });
                 }
--- a/crates/gateway/benches/quarantine.rs
+++ b/crates/gateway/benches/quarantine.rs
@@ -35,7 +35,7 @@
             sent_ms: Millis::ZERO,
             crashed_ms: Millis(50),
         };
-        quarantine.note_crash(RequestFingerprint(number), crash);
+        quarantine.record_crash(RequestFingerprint(number), crash);
     }
     Some(quarantine)
 }
--- a/crates/gateway/src/ask/question.rs
+++ b/crates/gateway/src/ask/question.rs
@@ -5,7 +5,7 @@
 use crate::event_log::{AnswerTo, LogEvent};
 use crate::host::Host;
 use crate::http1::HeadFields;
-use dispatch::backpressure::AnswerKind;
+use dispatch::backpressure::ResponseKind;
 use dispatch::{LoadReport, ProbeFailure};
 use domain::{Millis, ServiceName, UpstreamId};
 use published::RunStart;
@@ -163,7 +163,7 @@
     }
     note_cold(host, (upstream, run), &answer.head.fields);
     let said = backpressure::read_fields(host, upstream, &answer.head.fields);
-    backpressure::note(host, (upstream, run), AnswerKind::HealthCheck, said);
+    backpressure::note(host, (upstream, run), ResponseKind::HealthCheck, said);
     Ok(answer.head.status == 200)
 }
 
--- a/crates/gateway/src/backpressure.rs
+++ b/crates/gateway/src/backpressure.rs
@@ -10,8 +10,8 @@
 use crate::peers::codec::Datagram;
 use dispatch::attempts::{self, Answered};
 use dispatch::backpressure::{
-    AnswerKind, Backpressure, BackpressureChange, BackpressureMessage, LONGEST_BACKOFF_MS,
-    ToldBackpressure,
+    Backpressure, BackpressureChange, BackpressureMessage, BackpressureUpdate, LONGEST_BACKOFF_MS,
+    ResponseKind,
 };
 use domain::{Millis, PerSecond, UpstreamId};
 use published::RunStart;
@@ -113,11 +113,12 @@
 }
 
 /// A run of an upstream answered and said so.
-pub fn note(host: &Rc<Host>, at: (&UpstreamId, RunStart), kind: AnswerKind, said: Backpressure) {
+pub fn note(host: &Rc<Host>, at: (&UpstreamId, RunStart), kind: ResponseKind, said: Backpressure) {
     let now_ms = host.now_ms();
-    let changed = host.upstreams.borrow_mut().note_backpressure(now_ms, at, kind, said);
+    let changed = host.upstreams.borrow_mut().record_backpressure(now_ms, at, kind, said);
     announce(host, changed, "upstream");
-    if host.upstreams.borrow().backpressure().is_untold() && !host.tells_backpressure.replace(true)
+    if host.upstreams.borrow().backpressure().has_pending()
+        && !host.tells_backpressure.replace(true)
     {
         let host = Rc::clone(host);
         tokio::task::spawn_local(async move {
@@ -134,7 +135,7 @@
     host.upstreams.borrow_mut().forget_backpressure(host.now_ms());
     let digest = host.upstreams.borrow().backpressure().digest();
     if digest != 0 {
-        let offer = Datagram::Backpressure(BackpressureMessage::Offer { digest });
+        let offer = Datagram::Backpressure(BackpressureMessage::Digest { digest });
         fleet_message::tell_some(host, &offer, 1);
     }
 }
@@ -151,7 +152,7 @@
 /// Asks some peers for what this host missed: it has just started, or stood still.
 pub fn ask_peers(host: &Host) {
     let digest = host.upstreams.borrow().backpressure().digest();
-    let ask = Datagram::Backpressure(BackpressureMessage::Ask { digest });
+    let ask = Datagram::Backpressure(BackpressureMessage::Request { digest });
     fleet_message::ask_some(host, &ask);
 }
 
@@ -159,48 +160,48 @@
 pub fn take(host: &Host, message: BackpressureMessage, from: SocketAddr) -> bool {
     let own_digest = host.upstreams.borrow().backpressure().digest();
     match message {
-        BackpressureMessage::Stated { told, passes_on } => {
-            if passes_on {
-                fleet_message::pass_on(host, &stated(told.clone(), false));
+        BackpressureMessage::Update { updates, should_relay } => {
+            if should_relay {
+                fleet_message::pass_on(host, &stated(updates.clone(), false));
             }
             let now_ms = host.now_ms();
-            let changed = host.upstreams.borrow_mut().take_backpressure(now_ms, told);
+            let changed = host.upstreams.borrow_mut().merge_backpressure(now_ms, updates);
             announce(host, changed, "peer");
-            return passes_on;
+            return should_relay;
         }
-        BackpressureMessage::Offer { digest } if digest != own_digest => {
-            let ask = BackpressureMessage::Ask { digest: own_digest };
+        BackpressureMessage::Digest { digest } if digest != own_digest => {
+            let ask = BackpressureMessage::Request { digest: own_digest };
             fleet_message::send(host, &Datagram::Backpressure(ask), &[from]);
         }
-        BackpressureMessage::Ask { digest } if digest != own_digest => {
-            let told = host.upstreams.borrow().backpressure().tell(host.now_ms());
-            fleet_message::send(host, &stated(told, false), &[from]);
+        BackpressureMessage::Request { digest } if digest != own_digest => {
+            let updates = host.upstreams.borrow().backpressure().export(host.now_ms());
+            fleet_message::send(host, &stated(updates, false), &[from]);
         }
-        BackpressureMessage::Offer { .. } | BackpressureMessage::Ask { .. } => {}
+        BackpressureMessage::Digest { .. } | BackpressureMessage::Request { .. } => {}
     }
     false
 }
 
 /// Tells what is untold, and again: who missed it would send one request too many.
 async fn tell_fleet(host: &Host) {
-    let untold = host.upstreams.borrow_mut().backpressure_mut().take_untold(host.now_ms());
+    let untold = host.upstreams.borrow_mut().backpressure_mut().take_pending(host.now_ms());
     if untold.is_empty() {
         return;
     }
     let begun_ms = host.now_ms();
     for after_ms in TELL_AFTER_MS {
         host.clock.sleep_until(begun_ms + after_ms).await;
-        let later = |told: &ToldBackpressure| ToldBackpressure {
-            age_ms: told.age_ms + host.now_ms().since(begun_ms),
-            ..told.clone()
+        let later = |update: &BackpressureUpdate| BackpressureUpdate {
+            age_ms: update.age_ms + host.now_ms().since(begun_ms),
+            ..update.clone()
         };
-        let told: Vec<ToldBackpressure> = untold.iter().map(later).collect();
-        fleet_message::tell_fleet(host, |passes_on| stated(told.clone(), passes_on));
+        let updates: Vec<BackpressureUpdate> = untold.iter().map(later).collect();
+        fleet_message::tell_fleet(host, |should_relay| stated(updates.clone(), should_relay));
     }
 }
 
-fn stated(told: Vec<ToldBackpressure>, passes_on: bool) -> Datagram {
-    Datagram::Backpressure(BackpressureMessage::Stated { told, passes_on })
+fn stated(updates: Vec<BackpressureUpdate>, should_relay: bool) -> Datagram {
+    Datagram::Backpressure(BackpressureMessage::Update { updates, should_relay })
 }
 
 /// Tells operators.
--- a/crates/gateway/src/event_log/event.rs
+++ b/crates/gateway/src/event_log/event.rs
@@ -2,7 +2,7 @@
 
 use dispatch::attempts::Refusal;
 use dispatch::backpressure::LimitChange;
-use dispatch::quarantine::Change;
+use dispatch::quarantine::SuspectStatus;
 use dispatch::scheduler::{Cell, Ticket};
 use dispatch::{AttemptFailure, ProbeFailure, Verdict, Warmth};
 use domain::{
@@ -147,7 +147,7 @@
     /// More or nothing speaks against a request that upstreams crashed under.
     Quarantine {
         fingerprint: RequestFingerprint,
-        change: Change,
+        change: SuspectStatus,
         crashes: usize,
         upstreams: Vec<&'a UpstreamId>,
         seen_by: Vec<&'a HostId>,
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -165,7 +165,7 @@
         source_calls: host.source_calls.get(),
         log_lines_dropped: host.log.dropped(),
         open_requests: host.open_requests.get() as u64,
-        quarantined: host.quarantine.borrow().held(host.now_ms()) as u64,
+        quarantined: host.quarantine.borrow().count_held(host.now_ms()) as u64,
         evacuated_zones: host.picture().evacuations().in_force().count() as u64,
         cold_upstreams: host.upstreams.borrow().count_cold(host.now_ms()) as u64,
         limited_upstreams: host.upstreams.borrow().backpressure().count_limited() as u64,
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -10,7 +10,7 @@
 use crate::fleet_message;
 use crate::host::Host;
 use crate::peers::codec::Datagram;
-use dispatch::quarantine::{Changed, Crash, QuarantineMessage};
+use dispatch::quarantine::{Crash, QuarantineMessage, SuspectChange};
 use domain::{Millis, RequestFingerprint, UpstreamId};
 use published::{Eligibility, RunStart, Upstream};
 use std::io::ErrorKind;
@@ -104,7 +104,7 @@
         sent_ms: broken.sent_ms,
         crashed_ms: broken.broke_ms,
     };
-    let changed = host.quarantine.borrow_mut().note_crash(broken.fingerprint, crash);
+    let changed = host.quarantine.borrow_mut().record_crash(broken.fingerprint, crash);
     announce(host, changed);
     tell_fleet(host);
 }
@@ -116,7 +116,7 @@
 
 /// A request that an upstream crashed under got its final answer.
 pub fn note_over(host: &Host, fingerprint: RequestFingerprint) {
-    host.quarantine.borrow_mut().note_over(fingerprint);
+    host.quarantine.borrow_mut().record_final_answer(fingerprint);
     tell_fleet(host);
 }
 
@@ -149,9 +149,9 @@
 /// What is due now and then: forgets, and offers a peer what it may have missed.
 pub fn turn(host: &Host) {
     let now_ms = host.now_ms();
-    host.quarantine.borrow_mut().settle(now_ms);
-    let Some(digest) = host.quarantine.borrow_mut().offer(now_ms) else { return };
-    let offer = Datagram::Quarantine(QuarantineMessage::Offer { digest });
+    host.quarantine.borrow_mut().expire(now_ms);
+    let Some(digest) = host.quarantine.borrow_mut().digest_if_due(now_ms) else { return };
+    let offer = Datagram::Quarantine(QuarantineMessage::Digest { digest });
     fleet_message::tell_some(host, &offer, 1);
 }
 
@@ -168,7 +168,7 @@
 /// Asks some peers for what this host missed: it has just started, or stood still.
 pub fn ask_peers(host: &Host) {
     let digest = host.quarantine.borrow().digest();
-    let ask = Datagram::Quarantine(QuarantineMessage::Ask { digest });
+    let ask = Datagram::Quarantine(QuarantineMessage::Request { digest });
     fleet_message::ask_some(host, &ask);
 }
 
@@ -177,35 +177,35 @@
     let now_ms = host.now_ms();
     let own_digest = host.quarantine.borrow().digest();
     match message {
-        QuarantineMessage::Suspects { suspects, passes_on } => {
-            if passes_on {
+        QuarantineMessage::Suspects { suspects, should_relay } => {
+            if should_relay {
                 let passed =
-                    QuarantineMessage::Suspects { suspects: suspects.clone(), passes_on: false };
+                    QuarantineMessage::Suspects { suspects: suspects.clone(), should_relay: false };
                 fleet_message::pass_on(host, &Datagram::Quarantine(passed));
             }
-            let changed = host.quarantine.borrow_mut().take(now_ms, suspects);
+            let changed = host.quarantine.borrow_mut().merge(now_ms, suspects);
             announce(host, changed);
             tell_fleet(host);
-            return passes_on;
+            return should_relay;
         }
-        QuarantineMessage::Offer { digest } if digest != own_digest => {
-            send(host, QuarantineMessage::Ask { digest: own_digest }, from);
+        QuarantineMessage::Digest { digest } if digest != own_digest => {
+            send(host, QuarantineMessage::Request { digest: own_digest }, from);
         }
-        QuarantineMessage::Ask { digest } if digest != own_digest => {
-            let suspects = host.quarantine.borrow().tell(now_ms);
-            send(host, QuarantineMessage::Suspects { suspects, passes_on: false }, from);
+        QuarantineMessage::Request { digest } if digest != own_digest => {
+            let suspects = host.quarantine.borrow().export(now_ms);
+            send(host, QuarantineMessage::Suspects { suspects, should_relay: false }, from);
         }
-        QuarantineMessage::Offer { .. } | QuarantineMessage::Ask { .. } => {}
+        QuarantineMessage::Digest { .. } | QuarantineMessage::Request { .. } => {}
     }
     false
 }
 
 fn tell_fleet(host: &Host) {
-    let untold = host.quarantine.borrow_mut().take_untold(host.now_ms());
+    let untold = host.quarantine.borrow_mut().take_pending(host.now_ms());
     let Some(suspects) = untold else { return };
-    fleet_message::tell_fleet(host, |passes_on| {
+    fleet_message::tell_fleet(host, |should_relay| {
         let suspects = suspects.clone();
-        Datagram::Quarantine(QuarantineMessage::Suspects { suspects, passes_on })
+        Datagram::Quarantine(QuarantineMessage::Suspects { suspects, should_relay })
     });
 }
 
@@ -214,13 +214,13 @@
 }
 
 /// Tells operators, and whoever waits for what comes of a trial.
-fn announce(host: &Host, changed: impl IntoIterator<Item = Changed>) {
+fn announce(host: &Host, changed: impl IntoIterator<Item = SuspectChange>) {
     let now_ms = host.now_ms();
     for changed in changed {
         host.quarantine_news.notify_waiters();
         host.log.write(&LogEvent::Quarantine {
             fingerprint: changed.fingerprint,
-            change: changed.change,
+            change: changed.status,
             crashes: changed.crashes.len(),
             upstreams: changed.crashes.iter().map(|crash| &crash.upstream).collect(),
             seen_by: changed.crashes.iter().map(|crash| &crash.seen_by).collect(),
--- a/crates/gateway/tests/codec.rs
+++ b/crates/gateway/tests/codec.rs
@@ -77,10 +77,10 @@
             sent_ms: Millis(number * 1_000),
             crashed_ms: Millis(number * 1_000 + 60),
         };
-        quarantine.note_crash(RequestFingerprint(u128::MAX / 3), crash);
+        quarantine.record_crash(RequestFingerprint(u128::MAX / 3), crash);
     }
-    let suspects = quarantine.take_untold(Millis(4_000)).unwrap();
-    let told = QuarantineMessage::Suspects { suspects, passes_on: true };
+    let suspects = quarantine.take_pending(Millis(4_000)).unwrap();
+    let told = QuarantineMessage::Suspects { suspects, should_relay: true };
     let bytes = encode(&Datagram::Quarantine(told.clone())).unwrap();
     println!("{} bytes", bytes.len());
     assert!(bytes.len() < 200, "{}", bytes.len());
--- a/crates/gateway/tests/datagram_bytes.rs
+++ b/crates/gateway/tests/datagram_bytes.rs
@@ -2,8 +2,8 @@
 //! not change their bytes.
 #![allow(clippy::unwrap_used)]
 
-use dispatch::backpressure::{Backpressure, BackpressureMessage, ToldBackpressure};
-use dispatch::quarantine::{Crash, Quarantine, QuarantineMessage, ToldSuspect};
+use dispatch::backpressure::{Backpressure, BackpressureMessage, BackpressureUpdate};
+use dispatch::quarantine::{Crash, Quarantine, QuarantineMessage, SuspectUpdate};
 use dispatch::scheduler::{
     Cell, Outcome, Place, PlacementMessage, RefusalCause, Submission, Ticket, Withdrawal,
 };
@@ -492,32 +492,32 @@
 
 fn crashed_twice() -> Quarantine {
     let mut quarantine = Quarantine::default();
-    quarantine.note_crash(FINGERPRINT, crash(1, RunStart(Some(Millis(1_700_000_000_001)))));
-    quarantine.note_crash(FINGERPRINT, crash(2, RunStart(None)));
+    quarantine.record_crash(FINGERPRINT, crash(1, RunStart(Some(Millis(1_700_000_000_001)))));
+    quarantine.record_crash(FINGERPRINT, crash(2, RunStart(None)));
     quarantine
 }
 
-fn crashed() -> Vec<ToldSuspect> {
-    crashed_twice().take_untold(Millis(4_000)).unwrap()
+fn crashed() -> Vec<SuspectUpdate> {
+    crashed_twice().take_pending(Millis(4_000)).unwrap()
 }
 
-fn cleared() -> Vec<ToldSuspect> {
+fn cleared() -> Vec<SuspectUpdate> {
     let mut quarantine = crashed_twice();
     quarantine.clear(Millis(3_500), FINGERPRINT);
-    quarantine.take_untold(Millis(4_000)).unwrap()
+    quarantine.take_pending(Millis(4_000)).unwrap()
 }
 
-fn on_trial_again() -> Vec<ToldSuspect> {
+fn on_trial_again() -> Vec<SuspectUpdate> {
     let mut quarantine = crashed_twice();
     quarantine.clear(Millis(3_500), FINGERPRINT);
-    quarantine.note_crash(FINGERPRINT, crash(4, RunStart(None)));
-    quarantine.note_crash(FINGERPRINT, crash(5, RunStart(Some(Millis(1_700_000_000_005)))));
+    quarantine.record_crash(FINGERPRINT, crash(4, RunStart(None)));
+    quarantine.record_crash(FINGERPRINT, crash(5, RunStart(Some(Millis(1_700_000_000_005)))));
     quarantine.begin_trial(FINGERPRINT, Millis(7_250));
-    quarantine.take_untold(Millis(7_000)).unwrap()
+    quarantine.take_pending(Millis(7_000)).unwrap()
 }
 
-fn suspects(suspects: Vec<ToldSuspect>, passes_on: bool) -> QuarantineMessage {
-    QuarantineMessage::Suspects { suspects, passes_on }
+fn suspects(suspects: Vec<SuspectUpdate>, should_relay: bool) -> QuarantineMessage {
+    QuarantineMessage::Suspects { suspects, should_relay }
 }
 
 #[rstest]
@@ -535,14 +535,14 @@
     "060200012030303030303030303030303030303030303132333435363738396162636465660203692d34000766\
      726f6e742d34b817fc1603692d350185d095ffbc310766726f6e742d35d00f940f01ac1b01fa0101"
 )]
-#[case::offer(QuarantineMessage::Offer { digest: 9_876_543_212 }, "060201ecadc0e524")]
-#[case::ask(QuarantineMessage::Ask { digest: 9_876_543_213 }, "060202edadc0e524")]
+#[case::offer(QuarantineMessage::Digest { digest: 9_876_543_212 }, "060201ecadc0e524")]
+#[case::ask(QuarantineMessage::Request { digest: 9_876_543_213 }, "060202edadc0e524")]
 fn quarantine_keeps_its_bytes(#[case] message: QuarantineMessage, #[case] hex: &str) {
     check(&Datagram::Quarantine(message), hex);
 }
 
-fn limited() -> ToldBackpressure {
-    ToldBackpressure {
+fn limited() -> BackpressureUpdate {
+    BackpressureUpdate {
         upstream: "i-1".parse().unwrap(),
         run: RunStart(Some(Millis(1_700_000_000_001))),
         rate_limit: Some(PerSecond(7.5)),
@@ -551,8 +551,8 @@
     }
 }
 
-fn leaving() -> ToldBackpressure {
-    ToldBackpressure {
+fn leaving() -> BackpressureUpdate {
+    BackpressureUpdate {
         upstream: "i-2".parse().unwrap(),
         run: RunStart(None),
         rate_limit: None,
@@ -563,15 +563,15 @@
 
 #[rstest]
 #[case::limited(
-    BackpressureMessage::Stated { told: vec![limited()], passes_on: true },
+    BackpressureMessage::Update { updates: vec![limited()], should_relay: true },
     "0603000103692d310181d095ffbc31010000000000001e40005501"
 )]
 #[case::leaving(
-    BackpressureMessage::Stated { told: vec![leaving()], passes_on: false },
+    BackpressureMessage::Update { updates: vec![leaving()], should_relay: false },
     "0603000103692d32000001b60700"
 )]
-#[case::offer(BackpressureMessage::Offer { digest: 9_876_543_214 }, "060301eeadc0e524")]
-#[case::ask(BackpressureMessage::Ask { digest: 9_876_543_215 }, "060302efadc0e524")]
+#[case::offer(BackpressureMessage::Digest { digest: 9_876_543_214 }, "060301eeadc0e524")]
+#[case::ask(BackpressureMessage::Request { digest: 9_876_543_215 }, "060302efadc0e524")]
 fn backpressure_keeps_its_bytes(#[case] message: BackpressureMessage, #[case] hex: &str) {
     check(&Datagram::Backpressure(message), hex);
 }
