--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -27,7 +27,7 @@
 
 /// What all hosts together may repeat for one service.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct FleetRepeats {
+pub struct FleetRetryLimits {
     /// Part of the requests.
     pub ratio: Share,
     /// Repeats in each window beyond that.
@@ -38,8 +38,8 @@
 
 /// This host's repeats, by service.
 #[derive(Debug)]
-pub struct RepeatBudget {
-    allowed: FleetRepeats,
+pub struct RetryBudget {
+    allowed: FleetRetryLimits,
     started_ms: Millis,
     hosts: u32,
     services: FastMap<ServiceName, Window>,
@@ -58,19 +58,19 @@
     repeats: u32,
 }
 
-impl RepeatBudget {
+impl RetryBudget {
     /// A budget of a host that has just started.
-    pub fn new(allowed: FleetRepeats, started_ms: Millis) -> RepeatBudget {
-        RepeatBudget { allowed, started_ms, hosts: UNKNOWN_HOSTS, services: FastMap::default() }
+    pub fn new(allowed: FleetRetryLimits, started_ms: Millis) -> RetryBudget {
+        RetryBudget { allowed, started_ms, hosts: UNKNOWN_HOSTS, services: FastMap::default() }
     }
 
     /// Takes another allowance into force.
-    pub fn set_allowed(&mut self, allowed: FleetRepeats) {
+    pub fn set_allowed(&mut self, allowed: FleetRetryLimits) {
         self.allowed = allowed;
     }
 
     /// A request for the service came in.
-    pub fn earn(&mut self, now_ms: Millis, service: &ServiceName, hosts: u32) {
+    pub fn record_request(&mut self, now_ms: Millis, service: &ServiceName, hosts: u32) {
         let is_new = now_ms.since(self.started_ms) < KNOWING_MS;
         self.hosts = if is_new { hosts.max(UNKNOWN_HOSTS) } else { hosts };
         let window_ms = self.allowed.window_ms;
@@ -78,8 +78,8 @@
     }
 
     /// Takes one repeat, if there is one left.
-    pub fn take(&mut self, now_ms: Millis, service: &ServiceName) -> bool {
-        if self.left(now_ms, service) < 1.0 {
+    pub fn try_spend(&mut self, now_ms: Millis, service: &ServiceName) -> bool {
+        if self.remaining(now_ms, service) < 1.0 {
             return false;
         }
         let window_ms = self.allowed.window_ms;
@@ -88,7 +88,7 @@
     }
 
     /// Repeats left for a service.
-    pub fn left(&self, now_ms: Millis, service: &ServiceName) -> f64 {
+    pub fn remaining(&self, now_ms: Millis, service: &ServiceName) -> f64 {
         let since = now_ms.since(self.allowed.window_ms).0 / COUNT_MS.0;
         let counts = self.services.get(service).map(|window| &window.counts);
         let recent = counts.into_iter().flatten().filter(|count| count.second >= since);
@@ -123,18 +123,18 @@
 
 /// This host's part of the health checks that an upstream takes.
 #[derive(Debug)]
-pub struct AskBudget {
+pub struct ProbeBudget {
     per_second: PerSecond,
     tokens: FastMap<UpstreamId, (f64, Millis)>,
     wakefulness: Wakefulness,
 }
 
 /// Part of the health checks that the scheduler of a service spends on each upstream.
-pub const SCHEDULERS_ASKS: f64 = 0.4;
+pub const SCHEDULER_PROBE_SHARE: f64 = 0.4;
 
 /// Part that the hosts of an upstream's own availability zone share. The rest is for all hosts,
 /// where nobody schedules.
-pub const NEIGHBOURS_ASKS: f64 = 0.3;
+pub const LOCAL_ZONE_PROBE_SHARE: f64 = 0.3;
 
 /// Part of the allowed health checks that is spent.
 const ASK_MARGIN: f64 = 0.9;
@@ -146,11 +146,11 @@
 /// mean of a long time, and bursts are when fresh knowledge counts most.
 const ASK_SAVED_S: f64 = 30.0;
 
-impl AskBudget {
+impl ProbeBudget {
     /// A budget of what all hosts together may ask one upstream.
-    pub fn new(per_second: PerSecond) -> AskBudget {
+    pub fn new(per_second: PerSecond) -> ProbeBudget {
         let wakefulness = Wakefulness::default();
-        AskBudget { per_second, tokens: FastMap::default(), wakefulness }
+        ProbeBudget { per_second, tokens: FastMap::default(), wakefulness }
     }
 
     /// Takes another allowance into force.
@@ -160,7 +160,7 @@
 
     /// The process is awake. Nothing is saved up while it stands still: a fleet that wakes
     /// together would ask for all that time at once.
-    pub fn note_awake(&mut self, now_ms: Millis) {
+    pub fn record_awake(&mut self, now_ms: Millis) {
         let still_ms = self.wakefulness.note(now_ms);
         if still_ms > Millis::ZERO {
             self.tokens.values_mut().for_each(|(_, at_ms)| *at_ms = *at_ms + still_ms);
@@ -168,9 +168,9 @@
     }
 
     /// Takes one question to the upstream, if there is one left.
-    pub fn take(&mut self, now_ms: Millis, upstream: &UpstreamId, sharing_hosts: f64) -> bool {
+    pub fn try_spend(&mut self, now_ms: Millis, upstream: &UpstreamId, sharing_hosts: f64) -> bool {
         if self.wakefulness.is_noted() {
-            self.note_awake(now_ms);
+            self.record_awake(now_ms);
         }
         let rate = self.per_second.0 * ASK_MARGIN / sharing_hosts.max(1.0);
         let first = (rate * ASK_START_S).max(1.0);
--- a/crates/dispatch/src/cold.rs
+++ b/crates/dispatch/src/cold.rs
@@ -23,18 +23,18 @@
 
 /// What an upstream and its entry told of its being cold.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct ToldCold {
+pub(crate) struct WarmupState {
     since_ms: Millis,
     until_ms: Millis,
     is_outdated: bool,
 }
 
-impl ToldCold {
+impl WarmupState {
     pub(crate) fn at(&self, now_ms: Millis) -> Warmth {
         match self {
-            ToldCold { is_outdated: true, .. } => Warmth::Unknown,
-            ToldCold { until_ms, .. } if now_ms < *until_ms => Warmth::Cold,
-            ToldCold { .. } => Warmth::Warm,
+            WarmupState { is_outdated: true, .. } => Warmth::Unknown,
+            WarmupState { until_ms, .. } if now_ms < *until_ms => Warmth::Cold,
+            WarmupState { .. } => Warmth::Warm,
         }
     }
 
@@ -44,7 +44,7 @@
     }
 
     /// Its entry was written anew. That was a while ago, so it never shortens what is known.
-    pub(crate) fn note_entry(&mut self, now_ms: Millis, left_ms: Millis) {
+    pub(crate) fn apply_entry(&mut self, now_ms: Millis, left_ms: Millis) {
         if left_ms > Millis::ZERO {
             self.begin(now_ms);
             self.until_ms = self.until_ms.max(now_ms + left_ms);
@@ -52,7 +52,7 @@
     }
 
     /// It answered a health check; none if it is not of those that tell.
-    pub(crate) fn note_answer(&mut self, now_ms: Millis, left_ms: Option<Millis>) {
+    pub(crate) fn record_warmup_left(&mut self, now_ms: Millis, left_ms: Option<Millis>) {
         if left_ms.is_some_and(|left_ms| left_ms > Millis::ZERO) {
             self.begin(now_ms);
         }
@@ -61,7 +61,7 @@
     }
 
     /// It was away: what was told no longer holds.
-    pub(crate) fn note_away(&mut self, now_ms: Millis) {
+    pub(crate) fn mark_unknown(&mut self, now_ms: Millis) {
         self.begin(now_ms);
         self.is_outdated = true;
     }
--- a/crates/dispatch/src/fleet_rate.rs
+++ b/crates/dispatch/src/fleet_rate.rs
@@ -13,5 +13,5 @@
 
 pub use budget::FleetRate;
 pub(crate) use budget::RateBudget;
-pub(crate) use sharing::{Lenders, Lent};
-pub use sharing::{RateSender, sharing_fleet};
+pub(crate) use sharing::{Lenders, LentShares};
+pub use sharing::{LocalRateLimiter, assumed_fleet};
--- a/crates/dispatch/src/fleet_rate/budget.rs
+++ b/crates/dispatch/src/fleet_rate/budget.rs
@@ -43,7 +43,7 @@
     }
 
     /// Whether a sender that has a part of the fleet's rate may send a request now.
-    pub(crate) fn has_one(
+    pub(crate) fn allows_request(
         &self,
         now_ms: Millis,
         id: &UpstreamId,
@@ -54,7 +54,7 @@
     }
 
     /// When a sender that has a part of the fleet's rate may send its next request.
-    pub(crate) fn free_in(
+    pub(crate) fn next_request_in(
         &self,
         now_ms: Millis,
         id: &UpstreamId,
@@ -70,13 +70,13 @@
     }
 
     /// A request is sent.
-    pub(crate) fn take(&mut self, now_ms: Millis, id: &UpstreamId, limit: FleetRate, share: f64) {
+    pub(crate) fn spend(&mut self, now_ms: Millis, id: &UpstreamId, limit: FleetRate, share: f64) {
         let left = self.left(now_ms, id, limit, share) - 1.0;
         self.spent.insert(id.clone(), Allowance { left, at_ms: now_ms });
     }
 
     /// A request was not sent after all.
-    pub(crate) fn give_back(&mut self, id: &UpstreamId) {
+    pub(crate) fn refund(&mut self, id: &UpstreamId) {
         if let Some(allowance) = self.spent.get_mut(id) {
             allowance.left += 1.0;
         }
--- a/crates/dispatch/src/fleet_rate/sharing.rs
+++ b/crates/dispatch/src/fleet_rate/sharing.rs
@@ -27,7 +27,7 @@
 
 /// The hosts that share what the fleet may send to an upstream, as a host sees them so long
 /// after its start.
-pub fn sharing_fleet(known: FleetShape, since_start_ms: Millis) -> FleetShape {
+pub fn assumed_fleet(known: FleetShape, since_start_ms: Millis) -> FleetShape {
     match since_start_ms < KNOWING_MS {
         true => FleetShape {
             hosts: known.hosts.max(UNKNOWN_HOSTS),
@@ -39,16 +39,16 @@
 
 /// What a host sends by itself, where no scheduler placed the request.
 #[derive(Debug)]
-pub struct RateSender {
+pub struct LocalRateLimiter {
     budget: RateBudget,
     /// Whom it lent its share last, by cell, and when.
     lent: FastMap<Cell, (HostId, Millis)>,
 }
 
-impl RateSender {
+impl LocalRateLimiter {
     /// A host that has sent nothing yet.
-    pub fn new(host: HostId) -> RateSender {
-        RateSender { budget: RateBudget::new(host), lent: FastMap::default() }
+    pub fn new(host: HostId) -> LocalRateLimiter {
+        LocalRateLimiter { budget: RateBudget::new(host), lent: FastMap::default() }
     }
 
     /// The host hands a request to the scheduler of a cell; true if it lends it its share. One that
@@ -74,14 +74,14 @@
     ) -> bool {
         let has_one = |limit| {
             let share = self.share(now_ms, upstreams, id, hosts);
-            self.budget.has_one(now_ms, id, limit, share)
+            self.budget.allows_request(now_ms, id, limit, share)
         };
         upstreams.remaining_backoff(now_ms, id).is_none()
             && upstreams.fleet_rate(now_ms, id).map(by_itself).is_none_or(has_one)
     }
 
     /// Upstreams of a service that get nothing for now of one of so many hosts.
-    pub fn held_back(
+    pub fn blocked_upstreams(
         &self,
         now_ms: Millis,
         upstreams: &UpstreamSet,
@@ -96,7 +96,7 @@
     }
 
     /// The request is sent.
-    pub fn note_sent(
+    pub fn record_sent(
         &mut self,
         now_ms: Millis,
         upstreams: &UpstreamSet,
@@ -105,7 +105,7 @@
     ) {
         if let Some(limit) = upstreams.fleet_rate(now_ms, id).map(by_itself) {
             let share = self.share(now_ms, upstreams, id, hosts);
-            self.budget.take(now_ms, id, limit, share);
+            self.budget.spend(now_ms, id, limit, share);
         }
     }
 
@@ -133,7 +133,7 @@
 
 /// What hosts lend to the scheduler of a cell.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Lent {
+pub(crate) struct LentShares {
     /// Part of the fleet's hosts that lend it their shares.
     pub(crate) of_fleet: f64,
     /// Part of the hosts that use the cell first: all of them, or those of its availability zone.
@@ -143,7 +143,7 @@
     pub(crate) is_first: bool,
 }
 
-impl Lent {
+impl LentShares {
     /// The part of the rate that may be spent on an upstream, by whether that has just shown
     /// requests of others.
     pub(crate) fn spendable(&self, is_alone: bool) -> f64 {
@@ -162,7 +162,7 @@
 }
 
 impl Lenders {
-    pub(crate) fn note(&mut self, now_ms: Millis, cell: &Cell, asker: Asker) {
+    pub(crate) fn record(&mut self, now_ms: Millis, cell: &Cell, asker: Asker) {
         self.lent_ms.entry(cell.clone()).or_default().insert(asker, now_ms);
     }
 
--- a/crates/dispatch/src/scheduler/decision.rs
+++ b/crates/dispatch/src/scheduler/decision.rs
@@ -13,7 +13,7 @@
 use super::rate_placing::{hoped_share, rate_share};
 use crate::asking::{ASKED_AT_ONCE, AT_ONCE};
 use crate::choice::Candidate;
-use crate::fleet_rate::{Lent, RateBudget};
+use crate::fleet_rate::{LentShares, RateBudget};
 use crate::upstream_set::UpstreamSet;
 use domain::{Millis, UpstreamId};
 use rand::RngExt;
@@ -56,7 +56,7 @@
     /// What was spent of fleet-wide rates, and the part of them that is lent
     /// for it.
     pub(super) budget: &'a RateBudget,
-    pub(super) lent: Lent,
+    pub(super) lent: LentShares,
     /// Requests that wait before the one in question.
     pub(super) ahead: usize,
 }
@@ -169,7 +169,7 @@
         }
         let fleet_rate = upstreams.fleet_rate(now_ms, id);
         let has_one = |share| {
-            let may_send = |limit| view.budget.has_one(now_ms, id, limit, share);
+            let may_send = |limit| view.budget.allows_request(now_ms, id, limit, share);
             fleet_rate.is_none_or(may_send)
         };
         if !has_one(hoped_share(known, now_ms, view.lent)) {
--- a/crates/dispatch/src/scheduler/forecast.rs
+++ b/crates/dispatch/src/scheduler/forecast.rs
@@ -4,7 +4,7 @@
 use super::job::Job;
 use super::rate_placing::hoped_share;
 use crate::backpressure::LONGEST_BACKOFF_MS;
-use crate::fleet_rate::{FleetRate, Lent, RateBudget};
+use crate::fleet_rate::{FleetRate, LentShares, RateBudget};
 use crate::load::LEAST_SLOWNESS;
 use crate::upstream_set::UpstreamSet;
 use domain::{Millis, UpstreamId};
@@ -49,7 +49,7 @@
         now_ms: Millis,
         cell: &Cell,
         upstreams: &UpstreamSet,
-        (budget, lent): (&RateBudget, Lent),
+        (budget, lent): (&RateBudget, LentShares),
     ) -> Forecast {
         let sound = sound_upstreams(now_ms, cell, upstreams);
         let usual_ms = upstreams.expected_ms(&cell.service, 1.0);
@@ -66,7 +66,7 @@
         let done_per_ms = sound.iter().filter_map(done_per_ms).sum();
         let free_in_ms = |id: &UpstreamId| {
             let (known, limit) = (upstreams.get(id)?, upstreams.fleet_rate(now_ms, id)?);
-            Some(budget.free_in(now_ms, id, limit, hoped_share(known, now_ms, lent)))
+            Some(budget.next_request_in(now_ms, id, limit, hoped_share(known, now_ms, lent)))
         };
         let free_in_ms: Option<Vec<Millis>> = sound.iter().map(free_in_ms).collect();
         let rates_free_in_ms = free_in_ms.and_then(|all| all.into_iter().min());
--- a/crates/dispatch/src/scheduler/rate_placing.rs
+++ b/crates/dispatch/src/scheduler/rate_placing.rs
@@ -2,7 +2,7 @@
 
 use super::freshness::just_told;
 use super::{Asker, Cell};
-use crate::fleet_rate::{Lenders, Lent, RateBudget};
+use crate::fleet_rate::{Lenders, LentShares, RateBudget};
 use crate::subset::FleetShape;
 use crate::upstream::UpstreamState;
 use crate::upstream_set::UpstreamSet;
@@ -28,7 +28,7 @@
 
     /// A host hands a request of a cell to this one, and lends it its share.
     pub(super) fn note_lent(&mut self, now_ms: Millis, cell: &Cell, asker: Asker) {
-        self.lenders.note(now_ms, cell, asker);
+        self.lenders.record(now_ms, cell, asker);
     }
 
     /// Forgets shares that are no longer lent, and upstreams that take what comes.
@@ -42,29 +42,29 @@
         &mut self,
         now_ms: Millis,
         id: &UpstreamId,
-        lent: Lent,
+        lent: LentShares,
         upstreams: &UpstreamSet,
     ) {
         if let (Some(limit), Some(known)) = (upstreams.fleet_rate(now_ms, id), upstreams.get(id)) {
-            self.budget.take(now_ms, id, limit, rate_share(known, now_ms, lent));
+            self.budget.spend(now_ms, id, limit, rate_share(known, now_ms, lent));
         }
     }
 
     /// What is lent to a cell's scheduler, which is the first in order for it or stands in for that one.
-    pub(super) fn lent(&self, now_ms: Millis, cell: &Cell, is_first: bool) -> Lent {
+    pub(super) fn lent(&self, now_ms: Millis, cell: &Cell, is_first: bool) -> LentShares {
         let lenders = f64::from(self.lenders.count(now_ms, cell));
         let part = |of: u32| (lenders / f64::from(of.max(1))).min(1.0);
         let using = if cell.zone.is_some() { self.fleet.hosts_in_zone } else { self.fleet.hosts };
-        Lent { of_fleet: part(self.fleet.hosts), of_cell: part(using), is_first }
+        LentShares { of_fleet: part(self.fleet.hosts), of_cell: part(using), is_first }
     }
 }
 
 /// The part of the fleet's rate that may be spent on an upstream.
-pub(super) fn rate_share(known: &UpstreamState, now_ms: Millis, lent: Lent) -> f64 {
+pub(super) fn rate_share(known: &UpstreamState, now_ms: Millis, lent: LentShares) -> f64 {
     lent.spendable(just_told(known, now_ms).is_some() && known.other_requests() < 0.5)
 }
 
 /// The same, if it turns out to have no requests of others where that was not told just now.
-pub(super) fn hoped_share(known: &UpstreamState, now_ms: Millis, lent: Lent) -> f64 {
+pub(super) fn hoped_share(known: &UpstreamState, now_ms: Millis, lent: LentShares) -> f64 {
     lent.spendable(just_told(known, now_ms).is_none() || known.other_requests() < 0.5)
 }
--- a/crates/dispatch/src/scheduler/set.rs
+++ b/crates/dispatch/src/scheduler/set.rs
@@ -95,7 +95,7 @@
                 if let Some(scheduler) = &mut scheduler {
                     let upstream = scheduler.withdraw(now_ms, key, how, upstreams);
                     if let Some(upstream) = upstream.filter(|_| how != Withdrawal::Sent) {
-                        self.rates.budget.give_back(&upstream);
+                        self.rates.budget.refund(&upstream);
                     }
                 }
                 scheduler
--- a/crates/dispatch/src/upstream.rs
+++ b/crates/dispatch/src/upstream.rs
@@ -6,7 +6,7 @@
 //! idle.
 
 use crate::LoadReport;
-use crate::cold::{ToldCold, Warmth};
+use crate::cold::{Warmth, WarmupState};
 use crate::service_load::{ServiceLoad, told_others};
 use domain::Millis;
 use published::{Eligibility, Entry, Revision, RunStart, Upstream};
@@ -72,7 +72,7 @@
     revision: Revision,
     /// When it was first published, as far as this host knows.
     first_seen_ms: Millis,
-    cold: ToldCold,
+    cold: WarmupState,
     report: Option<(LoadReport, Millis)>,
     /// Requests that the report told beyond those that were known.
     other_requests: f64,
@@ -87,8 +87,8 @@
 impl UpstreamState {
     /// An upstream that has just been published.
     pub fn new(entry: &Entry<Arc<Upstream>>, now_ms: Millis) -> UpstreamState {
-        let mut cold = ToldCold::default();
-        cold.note_entry(now_ms, entry.value.warmup_left_ms);
+        let mut cold = WarmupState::default();
+        cold.apply_entry(now_ms, entry.value.warmup_left_ms);
         UpstreamState {
             entry: Arc::clone(&entry.value),
             eligibility: Eligibility::Eligible,
@@ -161,13 +161,13 @@
         eligibility: Eligibility,
     ) {
         if entry.revision != self.revision {
-            self.cold.note_entry(now_ms, entry.value.warmup_left_ms);
+            self.cold.apply_entry(now_ms, entry.value.warmup_left_ms);
             // It has just written its entry anew, so it is there.
             self.unreached = 0;
             self.excluded_until_ms = Millis::ZERO;
         }
         if self.eligibility == Eligibility::ZoneEvacuated && eligibility != self.eligibility {
-            self.cold.note_away(now_ms);
+            self.cold.mark_unknown(now_ms);
         }
         self.revision = entry.revision;
         self.entry = Arc::clone(&entry.value);
@@ -177,7 +177,7 @@
     /// It answered a health check, and told how much longer it stays cold if it is of those that
     /// tell.
     pub(crate) fn record_warmup_left(&mut self, now_ms: Millis, left_ms: Option<Millis>) {
-        self.cold.note_answer(now_ms, left_ms);
+        self.cold.record_warmup_left(now_ms, left_ms);
     }
 
     /// Slowness as far as it is still known, in times of the usual; what is not known is
@@ -214,7 +214,7 @@
             ProbeFailure::Unreachable | ProbeFailure::Unwell | ProbeFailure::TimedOut => {
                 // It may have been down, and is cold when it is back.
                 if failure != ProbeFailure::Unwell {
-                    self.cold.note_away(now_ms);
+                    self.cold.mark_unknown(now_ms);
                 }
                 self.unreached = self.unreached.saturating_add(1);
                 let doubled = FIRST_AVOID_MS << (self.unreached - 1).min(8);
--- a/crates/dispatch/tests/support/rate_site.rs
+++ b/crates/dispatch/tests/support/rate_site.rs
@@ -283,13 +283,13 @@
         let now_ms = Millis(self.now_ms);
         let hosts = known_fleet(&self.site, now_ms).hosts;
         let Host { upstreams, rng, sender, .. } = &mut self.hosts[host];
-        let held_back = sender.held_back(now_ms, upstreams, &service(), hosts);
+        let held_back = sender.blocked_upstreams(now_ms, upstreams, &service(), hosts);
         let part = (3, ZoneScope::Local);
         let asked =
             upstreams.choose_probe_targets(now_ms, &service(), &held_back, part, |_| false, rng);
         let running = |id: &UpstreamId| self.running.get(id).copied().unwrap_or_default();
         let Some(chosen) = asked.into_iter().find(|id| running(id) < SLOTS) else { return };
-        sender.note_sent(now_ms, upstreams, &chosen, hosts);
+        sender.record_sent(now_ms, upstreams, &chosen, hosts);
         self.reach(&chosen, host, None);
     }
 
--- a/crates/dispatch/tests/support/rate_site/host.rs
+++ b/crates/dispatch/tests/support/rate_site/host.rs
@@ -3,7 +3,7 @@
 use super::super::{entry, id};
 use super::{AFTER_MS, Harm, Reason, SLOTS, Site, ZONES, service, zone};
 use dispatch::scheduler::{Asker, Cell, Directory, SchedulerSet};
-use dispatch::{FleetShape, RateSender, UpstreamSet, sharing_fleet};
+use dispatch::{FleetShape, LocalRateLimiter, UpstreamSet, assumed_fleet};
 use domain::{Connections, HostId, Incarnation, Millis, PerSecond, Slots};
 use published::{Capacity, Entry, Evacuations, Member, ServiceSettings, Upstream};
 use rand::SeedableRng;
@@ -16,7 +16,7 @@
     pub(super) schedulers: SchedulerSet,
     pub(super) directory: Directory,
     pub(super) upstreams: UpstreamSet,
-    pub(super) sender: RateSender,
+    pub(super) sender: LocalRateLimiter,
     pub(super) rng: Pcg64Mcg,
     /// Kills so far: what a former run was told is for nobody.
     pub(super) run: u64,
@@ -48,7 +48,7 @@
             schedulers,
             directory: Directory::default(),
             upstreams,
-            sender: RateSender::new(name),
+            sender: LocalRateLimiter::new(name),
             rng: Pcg64Mcg::seed_from_u64(site.seed.wrapping_mul(1_000) + number as u64),
             run: 0,
             up_from_ms: 0,
@@ -65,7 +65,7 @@
 pub(super) fn known_fleet(site: &Site, now_ms: Millis) -> FleetShape {
     let (hosts, hosts_in_zone) = (site.hosts as u32, site.hosts.div_ceil(ZONES) as u32);
     match site.harm {
-        Harm::JustStarted => sharing_fleet(FleetShape { hosts: 1, hosts_in_zone: 1 }, now_ms),
+        Harm::JustStarted => assumed_fleet(FleetShape { hosts: 1, hosts_in_zone: 1 }, now_ms),
         _ => FleetShape { hosts, hosts_in_zone },
     }
 }
--- a/crates/gateway/src/ask/question.rs
+++ b/crates/gateway/src/ask/question.rs
@@ -52,7 +52,7 @@
 
 /// Asks an upstream for the schedulers of this host; false if no question is left.
 pub async fn refresh(host: &Rc<Host>, upstream: &UpstreamId) -> bool {
-    let may_ask = host.placing.asks.borrow_mut().take(host.now_ms(), upstream, 1.0);
+    let may_ask = host.placing.asks.borrow_mut().try_spend(host.now_ms(), upstream, 1.0);
     let known = host.upstreams.borrow().get(upstream).map(|known| known.entry.service.clone());
     let Some(service) = known.filter(|_| may_ask) else { return false };
     if let Some((connection, _)) = ask_within_limit(host, &service, upstream).await {
@@ -74,7 +74,7 @@
             (&host.neighbours_asks, upstreams.sharing_neighbours(service, fleet))
         }
     };
-    budget.borrow_mut().take(host.now_ms(), upstream, sharing)
+    budget.borrow_mut().try_spend(host.now_ms(), upstream, sharing)
 }
 
 /// Asks, and notes what came of it; the connection, and whether the upstream is well.
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -14,9 +14,12 @@
 use crate::settings::Settings;
 use crate::unread::UnreadMarks;
 use clock::Clock;
-use dispatch::budget::{AskBudget, NEIGHBOURS_ASKS, RepeatBudget, SCHEDULERS_ASKS};
+use dispatch::budget::{LOCAL_ZONE_PROBE_SHARE, ProbeBudget, RetryBudget, SCHEDULER_PROBE_SHARE};
 use dispatch::quarantine::Quarantine;
-use dispatch::{FleetShape, MOST_KEPT, RateSender, SplitTable, UpstreamSet, kept_connections};
+use dispatch::{
+    FleetShape, LocalRateLimiter, MAX_IDLE_CONNECTIONS, SplitTable, UpstreamSet,
+    idle_connections_per_host,
+};
 use domain::{Millis, PerSecond, ServiceName, UpstreamId};
 use published::{Belief, Gossip, Member, Members, Picture, RouteTable};
 use rand::SeedableRng;
@@ -50,13 +53,13 @@
     /// What is known of upstreams.
     pub upstreams: RefCell<UpstreamSet>,
     /// Repeats that this host may spend.
-    pub repeats: RefCell<RepeatBudget>,
+    pub repeats: RefCell<RetryBudget>,
     /// Health checks that this host may spend on its own requests.
-    pub asks: RefCell<AskBudget>,
+    pub asks: RefCell<ProbeBudget>,
     /// Those that it may spend besides on upstreams of its availability zone.
-    pub neighbours_asks: RefCell<AskBudget>,
+    pub neighbours_asks: RefCell<ProbeBudget>,
     /// What this host may send by itself to upstreams that take a rate from the whole fleet.
-    pub rates: RefCell<RateSender>,
+    pub rates: RefCell<LocalRateLimiter>,
     /// Its part in scheduling.
     pub placing: Placing,
     /// Where split routes stand.
@@ -123,14 +126,14 @@
                 settings.host.clone(),
                 settings.availability_zone.clone(),
             )),
-            repeats: RefCell::new(RepeatBudget::new(settings.limits.repeats, now_ms)),
-            asks: RefCell::new(AskBudget::new(own_asks(&settings))),
-            neighbours_asks: RefCell::new(AskBudget::new(neighbours_asks(&settings))),
-            rates: RefCell::new(RateSender::new(settings.host.clone())),
+            repeats: RefCell::new(RetryBudget::new(settings.limits.repeats, now_ms)),
+            asks: RefCell::new(ProbeBudget::new(own_asks(&settings))),
+            neighbours_asks: RefCell::new(ProbeBudget::new(neighbours_asks(&settings))),
+            rates: RefCell::new(LocalRateLimiter::new(settings.host.clone())),
             placing: Placing::new(
                 socket,
                 settings.host.clone(),
-                AskBudget::new(schedulers_asks(&settings)),
+                ProbeBudget::new(schedulers_asks(&settings)),
                 seed,
             ),
             splits: RefCell::default(),
@@ -245,7 +248,7 @@
     pub fn note_awake(&self) {
         let now_ms = self.now_ms();
         for asks in [&self.asks, &self.neighbours_asks, &self.placing.asks] {
-            asks.borrow_mut().note_awake(now_ms);
+            asks.borrow_mut().record_awake(now_ms);
         }
     }
 
@@ -256,7 +259,9 @@
         let hosts = self.hosts();
         let most = |service: &ServiceName| {
             let settings = table.as_ref().and_then(|table| table.service(service));
-            settings.map_or(MOST_KEPT, |settings| kept_connections(settings.max_connections, hosts))
+            settings.map_or(MAX_IDLE_CONNECTIONS, |settings| {
+                idle_connections_per_host(settings.max_connections, hosts)
+            })
         };
         self.pool.borrow_mut().prune(|id| {
             let upstream = &picture.upstream(id)?.value;
@@ -295,17 +300,17 @@
 
 /// Health checks for requests that nobody schedules.
 fn own_asks(settings: &Settings) -> PerSecond {
-    PerSecond(settings.limits.asks.0 * (1.0 - SCHEDULERS_ASKS - NEIGHBOURS_ASKS))
+    PerSecond(settings.limits.asks.0 * (1.0 - SCHEDULER_PROBE_SHARE - LOCAL_ZONE_PROBE_SHARE))
 }
 
 /// Health checks for requests that go to an idle upstream of the own availability zone.
 fn neighbours_asks(settings: &Settings) -> PerSecond {
-    PerSecond(settings.limits.asks.0 * NEIGHBOURS_ASKS)
+    PerSecond(settings.limits.asks.0 * LOCAL_ZONE_PROBE_SHARE)
 }
 
 /// Health checks for requests that this host schedules.
 fn schedulers_asks(settings: &Settings) -> PerSecond {
-    PerSecond(settings.limits.asks.0 * SCHEDULERS_ASKS)
+    PerSecond(settings.limits.asks.0 * SCHEDULER_PROBE_SHARE)
 }
 
 /// A span of the clock type as the runtime's.
--- a/crates/gateway/src/host/rates.rs
+++ b/crates/gateway/src/host/rates.rs
@@ -1,7 +1,7 @@
 //! What this host may send by itself to upstreams that take less than what comes.
 
 use super::Host;
-use dispatch::{FleetShape, UpstreamSet, sharing_fleet};
+use dispatch::{FleetShape, UpstreamSet, assumed_fleet};
 use domain::{ServiceName, UpstreamId};
 
 impl Host {
@@ -13,17 +13,22 @@
 
     /// Upstreams of a service that get nothing from this host by itself for now.
     pub fn held_back(&self, upstreams: &UpstreamSet, service: &ServiceName) -> Vec<UpstreamId> {
-        self.rates.borrow().held_back(self.now_ms(), upstreams, service, self.rate_fleet().hosts)
+        self.rates.borrow().blocked_upstreams(
+            self.now_ms(),
+            upstreams,
+            service,
+            self.rate_fleet().hosts,
+        )
     }
 
     /// This host sends a request by itself to an upstream, which may take a rate only.
     pub fn note_sent_rated(&self, id: &UpstreamId) {
         let (now_ms, hosts) = (self.now_ms(), self.rate_fleet().hosts);
-        self.rates.borrow_mut().note_sent(now_ms, &self.upstreams.borrow(), id, hosts);
+        self.rates.borrow_mut().record_sent(now_ms, &self.upstreams.borrow(), id, hosts);
     }
 
     /// Hosts that share what the fleet may send to an upstream.
     pub fn rate_fleet(&self) -> FleetShape {
-        sharing_fleet(self.fleet_shape(), self.now_ms())
+        assumed_fleet(self.fleet_shape(), self.now_ms())
     }
 }
--- a/crates/gateway/src/placing.rs
+++ b/crates/gateway/src/placing.rs
@@ -16,7 +16,7 @@
 use crate::host::Host;
 use crate::metrics::Metrics;
 use crate::peers::codec::Datagram;
-use dispatch::budget::AskBudget;
+use dispatch::budget::ProbeBudget;
 use dispatch::scheduler::{
     Asker, Cell, Directory, Place, PlacementMessage, RefusalCause, SchedulerSet, Submission, Ticket,
 };
@@ -51,7 +51,7 @@
     /// What this host schedules.
     pub schedulers: RefCell<SchedulerSet>,
     /// Health checks that its schedulers may spend.
-    pub asks: RefCell<AskBudget>,
+    pub asks: RefCell<ProbeBudget>,
     directory: RefCell<Directory>,
     awaited: RefCell<FastMap<Ticket, mpsc::UnboundedSender<SchedulerReply>>>,
     next_ticket: std::cell::Cell<u64>,
@@ -82,7 +82,7 @@
 
 impl Placing {
     /// Speaks through the peers' socket; `seed` sets this run's tickets apart from those of the last.
-    pub fn new(socket: Rc<UdpSocket>, host: HostId, asks: AskBudget, seed: u64) -> Placing {
+    pub fn new(socket: Rc<UdpSocket>, host: HostId, asks: ProbeBudget, seed: u64) -> Placing {
         Placing {
             socket,
             schedulers: RefCell::new(SchedulerSet::new(host)),
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,7 +1,7 @@
 //! Connections to upstreams that wait for their next use.
 
 use crate::connection::Connection;
-use dispatch::MOST_KEPT;
+use dispatch::MAX_IDLE_CONNECTIONS;
 use domain::{FastMap, UpstreamId};
 use published::RunStart;
 
@@ -38,7 +38,7 @@
             return;
         }
         let idle = self.idle.entry(upstream.clone()).or_default();
-        if idle.len() < MOST_KEPT {
+        if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(connection);
         }
     }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,6 +1,6 @@
 //! What a host is told at its start, and again at each reload.
 
-use dispatch::budget::FleetRepeats;
+use dispatch::budget::FleetRetryLimits;
 use domain::{HostId, Millis, PerSecond, ZoneName};
 use published::Capacity;
 use std::net::{IpAddr, SocketAddr};
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FleetLimits {
     /// Repeats.
-    pub repeats: FleetRepeats,
+    pub repeats: FleetRetryLimits,
     /// Health checks that one upstream takes.
     pub asks: PerSecond,
     /// Time from the request to stop until the process is killed.
--- a/crates/gateway/tests/serving.rs
+++ b/crates/gateway/tests/serving.rs
@@ -441,7 +441,7 @@
         for upstream in &upstreams {
             let (id, now_ms) = (upstream.id().parse().unwrap(), host.now_ms());
             for purse in [&host.asks, &host.neighbours_asks, &host.placing.asks] {
-                assert!(purse.borrow_mut().take(now_ms, &id, 1.0));
+                assert!(purse.borrow_mut().try_spend(now_ms, &id, 1.0));
             }
         }
         for round in 0..4 {
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -5,7 +5,7 @@
 pub mod source;
 pub mod upstream;
 
-use dispatch::budget::FleetRepeats;
+use dispatch::budget::FleetRetryLimits;
 use domain::{ByteCount, Connections, Millis, PerSecond, ServiceName, Share, Slots, Version};
 use gateway::dialect::Dialect;
 use gateway::event_log::EventLog;
@@ -111,7 +111,11 @@
         is_first_start: false,
         capacity: Capacity::default(),
         limits: FleetLimits {
-            repeats: FleetRepeats { ratio: Share(0.2), slack: 400.0, window_ms: Millis(10_000) },
+            repeats: FleetRetryLimits {
+                ratio: Share(0.2),
+                slack: 400.0,
+                window_ms: Millis(10_000),
+            },
             asks: PerSecond(10_000.0),
             stop_ms: Millis(6_000),
         },
