--- a/crates/dispatch/src/cost.rs
+++ b/crates/dispatch/src/cost.rs
@@ -8,7 +8,7 @@
 use crate::curve::SpeedCurve;
 use crate::load::LEAST_SLOWNESS;
 use crate::service_load::ServiceLoad;
-use crate::upstream::Known;
+use crate::upstream::UpstreamState;
 use domain::{Millis, UpstreamId};
 
 /// What another availability zone adds: its bytes are paid for, and the way is longer. With 0.35
@@ -47,9 +47,9 @@
 }
 
 /// Weighs an upstream for a request that would be sent now.
-pub fn estimate_cost(known: &Known, inputs: CostInputs<'_>) -> Candidate {
+pub fn estimate_cost(known: &UpstreamState, inputs: CostInputs<'_>) -> Candidate {
     let slots = f64::from(known.entry.slots.0.max(1));
-    let running = known.occupied(inputs.now_ms, inputs.load) + 1.0;
+    let running = known.estimated_requests(inputs.now_ms, inputs.load) + 1.0;
     let wait = ((running - slots) / slots).max(0.0);
     let cold = match known.warmth(inputs.now_ms) {
         Warmth::Warm => 1.0,
@@ -58,7 +58,7 @@
     let slow = known.slowness(inputs.now_ms, inputs.load).max(LEAST_SLOWNESS) * cold;
     let work = slow * (1.0 / inputs.curve.speed(running) + wait);
     let used = slow * USED_WEIGHT * (running / slots).min(1.0);
-    let failing = 1.0 + FAILURE_WEIGHT * known.failure_share(inputs.now_ms);
+    let failing = 1.0 + FAILURE_WEIGHT * known.failure_rate(inputs.now_ms);
     let other_zone = if inputs.is_other_zone { OTHER_ZONE } else { 0.0 };
     Candidate { upstream: known.entry.id.clone(), work, cost: (work + used) * failing + other_zone }
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -28,11 +28,11 @@
 mod upstream_set;
 
 pub use cold::Warmth;
-pub use connections::{MOST_KEPT, kept_connections};
+pub use connections::{MAX_IDLE_CONNECTIONS, idle_connections_per_host};
 pub use cost::{Candidate, CostInputs, estimate_cost};
 pub use curve::{Occupancy, SpeedCurve};
 pub use deadline::{DeadlineCheck, LatencyEstimate, Verdict};
-pub use fleet_rate::{FleetRate, RateSender, sharing_fleet};
+pub use fleet_rate::{FleetRate, LocalRateLimiter, assumed_fleet};
 pub use load::LoadReport;
 pub use probing::{
     GOOD_ENOUGH_COST, IMMEDIATE_COST, PROBE_ROUNDS, PROBES_PER_ROUND, UNHEALTHY_COST,
@@ -41,5 +41,5 @@
 pub use service_load::ServiceLoad;
 pub use split::SplitTable;
 pub use subset::{FULL_SUBSET_MAX, FleetSize, LOCAL_ZONE_UPSTREAMS, OTHER_ZONE_UPSTREAMS, Subset};
-pub use upstream::{AskFailure, Known, SendFailure};
-pub use upstream_set::{Reach, UpstreamSet};
+pub use upstream::{AttemptFailure, ProbeFailure, UpstreamState};
+pub use upstream_set::{UpstreamSet, ZoneScope};
--- a/crates/dispatch/src/scheduler/cell.rs
+++ b/crates/dispatch/src/scheduler/cell.rs
@@ -32,7 +32,7 @@
         let is_split_by_zone = upstreams.of_service(service).len() > FULL_SUBSET_MAX;
         let zone = match is_split_by_zone {
             false => None,
-            true if upstreams.takes_work_in(service, zone) => Some(zone.clone()),
+            true if upstreams.accepts_requests_in(service, zone) => Some(zone.clone()),
             true => upstreams.draw_other_zone(service, zone, rng),
         };
         Cell { service: service.clone(), zone }
--- a/crates/dispatch/src/scheduler/decision.rs
+++ b/crates/dispatch/src/scheduler/decision.rs
@@ -11,7 +11,7 @@
 use super::placement_rates::{confirmed_share, optimistic_share};
 use super::request::QueuedRequest;
 use crate::cost::Candidate;
-use crate::fleet_rate::{Lent, RateBudget};
+use crate::fleet_rate::{LentShares, RateBudget};
 use crate::probing::{IMMEDIATE_COST, PROBES_PER_ROUND};
 use crate::upstream_set::UpstreamSet;
 use domain::{Millis, UpstreamId};
@@ -52,7 +52,7 @@
     pub(super) forecast: &'a Forecast,
     /// What was spent of fleet-wide rate limits, and the shares of them lent to this scheduler.
     pub(super) budget: &'a RateBudget,
-    pub(super) lent: Lent,
+    pub(super) lent: LentShares,
     /// Number of requests that wait before this one.
     pub(super) ahead: usize,
 }
@@ -181,12 +181,12 @@
         let (known, curve) = (upstreams.get(id)?, upstreams.curve(id)?);
         let slots = known.entry.slots.0.max(1);
         let max_in_flight = curve.best_concurrency().saturating_add(excess).min(slots);
-        if known.open() >= max_in_flight {
+        if known.in_flight() >= max_in_flight {
             return None;
         }
         let fleet_rate = upstreams.fleet_rate(now_ms, id);
         let allows_request = |share| {
-            let may_send = |limit| inputs.budget.has_one(now_ms, id, limit, share);
+            let may_send = |limit| inputs.budget.allows_request(now_ms, id, limit, share);
             fleet_rate.is_none_or(may_send)
         };
         if !allows_request(optimistic_share(known, now_ms, inputs.lent)) {
@@ -197,7 +197,7 @@
         let is_fresh = fresh_report(known, now_ms).is_some();
         // Foreign requests limit a placement by slots only, not by the best concurrency. Half a
         // request of tolerance: the foreign load is an estimate that decays.
-        let occupied = known.occupied(now_ms, upstreams.load(&self.cell.service));
+        let occupied = known.estimated_requests(now_ms, upstreams.load(&self.cell.service));
         let has_room = may_place && occupied + 0.5 <= f64::from(slots);
         Some(PlacementOption { rank: candidate.cost, candidate, is_fresh, may_place, has_room })
     }
--- a/crates/dispatch/src/scheduler/forecast.rs
+++ b/crates/dispatch/src/scheduler/forecast.rs
@@ -4,7 +4,7 @@
 use super::placement_rates::optimistic_share;
 use super::request::QueuedRequest;
 use crate::backpressure::LONGEST_BACKOFF_MS;
-use crate::fleet_rate::{FleetRate, Lent, RateBudget};
+use crate::fleet_rate::{FleetRate, LentShares, RateBudget};
 use crate::load::LEAST_SLOWNESS;
 use crate::upstream_set::UpstreamSet;
 use domain::{Millis, UpstreamId};
@@ -47,7 +47,7 @@
         now_ms: Millis,
         cell: &Cell,
         upstreams: &UpstreamSet,
-        (budget, lent): (&RateBudget, Lent),
+        (budget, lent): (&RateBudget, LentShares),
     ) -> Forecast {
         let usable = usable_upstreams(now_ms, cell, upstreams);
         let baseline_ms = upstreams.expected_ms(&cell.service, 1.0);
@@ -68,7 +68,7 @@
         let throughput_per_ms = usable.iter().filter_map(throughput_per_ms).sum();
         let permits_in_ms = |id: &UpstreamId| {
             let (known, limit) = (upstreams.get(id)?, upstreams.fleet_rate(now_ms, id)?);
-            Some(budget.free_in(now_ms, id, limit, optimistic_share(known, now_ms, lent)))
+            Some(budget.next_request_in(now_ms, id, limit, optimistic_share(known, now_ms, lent)))
         };
         let permits_in_ms: Option<Vec<Millis>> = usable.iter().map(permits_in_ms).collect();
         let next_permit_in_ms = permits_in_ms.and_then(|all| all.into_iter().min());
@@ -130,15 +130,15 @@
 fn usable_upstreams(now_ms: Millis, cell: &Cell, upstreams: &UpstreamSet) -> Vec<UpstreamId> {
     let is_in_cell = |id: &&UpstreamId| {
         let is_held = upstreams.get(id).is_some_and(|known| cell.contains(&known.entry));
-        is_held && upstreams.takes_work(id)
+        is_held && upstreams.accepts_requests(id)
     };
     let all: Vec<&UpstreamId> =
         upstreams.of_service(&cell.service).iter().filter(is_in_cell).collect();
     let failure_rate =
-        |id: &UpstreamId| upstreams.get(id).map_or(0.0, |known| known.failure_share(now_ms));
+        |id: &UpstreamId| upstreams.get(id).map_or(0.0, |known| known.failure_rate(now_ms));
     let mean = all.iter().map(|id| failure_rate(id)).sum::<f64>() / all.len().max(1) as f64;
     let is_usable = |id: &&UpstreamId| {
-        let is_avoided = upstreams.get(id).is_some_and(|known| known.is_avoided(now_ms));
+        let is_avoided = upstreams.get(id).is_some_and(|known| known.is_excluded(now_ms));
         !is_avoided && failure_rate(id) - mean < MAX_EXCESS_FAILURE_RATE
     };
     let usable: Vec<UpstreamId> = all.iter().copied().filter(is_usable).cloned().collect();
--- a/crates/dispatch/src/subset.rs
+++ b/crates/dispatch/src/subset.rs
@@ -6,7 +6,7 @@
 //! availability zone first, chosen by rendezvous hashing: hosts that come or go move few,
 //! and an upstream that joins is in the subsets of some hosts at once.
 
-use crate::upstream::Known;
+use crate::upstream::UpstreamState;
 use domain::{FastMap, FastSet, HostId, UpstreamId, ZoneName};
 use published::{Eligibility, PreferredCounts, preferred_upstreams};
 
@@ -47,17 +47,20 @@
         host: &HostId,
         zone: &ZoneName,
         upstreams: &[UpstreamId],
-        known: &FastMap<UpstreamId, Known>,
+        known: &FastMap<UpstreamId, UpstreamState>,
     ) -> Subset {
         // What is evacuated would take the place of what can be used.
-        let is_usable = |known: &&Known| known.eligibility != Eligibility::ZoneEvacuated;
+        let is_usable = |known: &&UpstreamState| known.eligibility != Eligibility::ZoneEvacuated;
         let usable = || upstreams.iter().filter_map(|id| known.get(id)).filter(is_usable);
         let entries = || usable().map(|known| &*known.entry);
         let usable_upstreams = usable().count();
         let upstreams_in_zone = entries().filter(|entry| entry.availability_zone == *zone).count();
         let most = match usable_upstreams <= FULL_SUBSET_MAX {
             true => PreferredCounts { local_zone: FULL_SUBSET_MAX, other_zones: FULL_SUBSET_MAX },
-            false => PreferredCounts { local_zone: LOCAL_ZONE_UPSTREAMS, other_zones: OTHER_ZONE_UPSTREAMS },
+            false => PreferredCounts {
+                local_zone: LOCAL_ZONE_UPSTREAMS,
+                other_zones: OTHER_ZONE_UPSTREAMS,
+            },
         };
         let chosen = preferred_upstreams(host, zone, most, entries());
         let members = chosen.into_iter().map(|entry| entry.id.clone()).collect();
--- a/crates/dispatch/tests/support/rate_site.rs
+++ b/crates/dispatch/tests/support/rate_site.rs
@@ -5,11 +5,11 @@
 mod saying;
 
 use super::submission;
-use dispatch::backpressure::ToldBackpressure;
+use dispatch::backpressure::BackpressureUpdate;
 use dispatch::scheduler::{
     Cell, Directory, Effect, Outcome, PlacementMessage, Requester, Submission, Ticket, Withdrawal,
 };
-use dispatch::{LoadReport, Reach, SendFailure};
+use dispatch::{AttemptFailure, LoadReport, ZoneScope};
 use domain::{FastMap, FastSet, Millis, ServiceName, Slots, UpstreamId, ZoneName};
 use host::{Host, cold, known_fleet, requester};
 use published::{Member, RunStart};
@@ -92,8 +92,8 @@
     Asked { by: usize, run: u64, upstream: UpstreamId },
     Unheard { host: usize, ticket: u64 },
     Done { upstream: UpstreamId, host: usize, placed: Option<(usize, Ticket)> },
-    Told { to: usize, told: Vec<ToldBackpressure> },
-    TellAgain { host: usize, told: Vec<ToldBackpressure>, age_ms: Millis },
+    Told { to: usize, told: Vec<BackpressureUpdate> },
+    TellAgain { host: usize, told: Vec<BackpressureUpdate>, age_ms: Millis },
     AskPeer { host: usize },
 }
 
@@ -268,7 +268,7 @@
             zone: zone(0),
             objective_ms: Millis(1_500),
             left_ms: Millis(2_000),
-            backing_off: self.hosts[host].upstreams.backing_off(now_ms, &service()),
+            backing_off: self.hosts[host].upstreams.upstreams_in_backoff(now_ms, &service()),
             lends_rate_share,
             ..submission(ticket)
         };
@@ -283,12 +283,13 @@
         let now_ms = Millis(self.now_ms);
         let hosts = known_fleet(&self.site, now_ms).hosts;
         let Host { upstreams, rng, sender, .. } = &mut self.hosts[host];
-        let held_back = sender.held_back(now_ms, upstreams, &service(), hosts);
-        let part = (3, Reach::Near);
-        let asked = upstreams.to_ask(now_ms, &service(), &held_back, part, |_| false, rng);
+        let held_back = sender.blocked_upstreams(now_ms, upstreams, &service(), hosts);
+        let part = (3, ZoneScope::Local);
+        let asked =
+            upstreams.choose_probe_targets(now_ms, &service(), &held_back, part, |_| false, rng);
         let running = |id: &UpstreamId| self.running.get(id).copied().unwrap_or_default();
         let Some(chosen) = asked.into_iter().find(|id| running(id) < SLOTS) else { return };
-        sender.note_sent(now_ms, upstreams, &chosen, hosts);
+        sender.record_sent(now_ms, upstreams, &chosen, hosts);
         self.reach(&chosen, host, None);
     }
 
@@ -327,9 +328,9 @@
                 };
                 let told = (&upstream, RunStart::default());
                 let left_ms = (Millis(self.site.length_ms) + AFTER_MS).since(now_ms);
-                self.hosts[by].upstreams.note_report(now_ms, told, report);
+                self.hosts[by].upstreams.record_report(now_ms, told, report);
                 if self.site.reason == Reason::Cold {
-                    self.hosts[by].upstreams.note_cold(now_ms, told, Some(left_ms));
+                    self.hosts[by].upstreams.record_warmup_left(now_ms, told, Some(left_ms));
                 }
             }
             // What a host that was killed waited for is over.
@@ -346,7 +347,7 @@
             Event::Done { upstream, host, placed } => {
                 *self.running.entry(upstream.clone()).or_default() -= 1;
                 let backpressure = self.said(&upstream);
-                let failure = self.refuses(&upstream).then_some(SendFailure::Shed);
+                let failure = self.refuses(&upstream).then_some(AttemptFailure::Shed);
                 let took_ms =
                     Millis(if failure.is_some() { REFUSED_MS } else { self.site.work_ms });
                 let outcome = Outcome { failure, took_ms, report: None, backpressure };
@@ -358,10 +359,10 @@
                 }
             }
             Event::Told { to, told } if self.is_up(to) => {
-                self.hosts[to].upstreams.take_backpressure(now_ms, told);
+                self.hosts[to].upstreams.merge_backpressure(now_ms, told);
             }
             Event::TellAgain { host, told, age_ms } if self.is_up(host) => {
-                let later = |told: ToldBackpressure| ToldBackpressure {
+                let later = |told: BackpressureUpdate| BackpressureUpdate {
                     age_ms: told.age_ms + age_ms,
                     ..told
                 };
@@ -371,7 +372,7 @@
             Event::AskPeer { host } if self.is_up(host) => {
                 for next in 1..=ASKED_PEERS {
                     let peer = (host + next) % self.hosts.len();
-                    let told = self.hosts[peer].upstreams.backpressure().tell(now_ms);
+                    let told = self.hosts[peer].upstreams.backpressure().export(now_ms);
                     self.push(2 * WAY_MS, Event::Told { to: host, told });
                 }
             }
@@ -396,8 +397,8 @@
                 let Some(to) = self.open.remove(&(host, ticket.0)) else { return };
                 let now_ms = Millis(self.now_ms);
                 let upstreams = &self.hosts[host].upstreams;
-                let may_send = upstreams.takes_work(&placement.upstream)
-                    && upstreams.backs_off(now_ms, &placement.upstream).is_none();
+                let may_send = upstreams.accepts_requests(&placement.upstream)
+                    && upstreams.remaining_backoff(now_ms, &placement.upstream).is_none();
                 match may_send {
                     true => self.reach(&placement.upstream, host, Some((to, ticket))),
                     false => self.withdraw(host, to, ticket),
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -16,8 +16,8 @@
 use crate::host::Host;
 use clock::Moment;
 use dispatch::{
-    Candidate, GOOD_ENOUGH_COST, IMMEDIATE_COST, PROBE_ROUNDS, PROBES_PER_ROUND, Reach,
-    UNHEALTHY_COST,
+    Candidate, GOOD_ENOUGH_COST, IMMEDIATE_COST, PROBE_ROUNDS, PROBES_PER_ROUND, UNHEALTHY_COST,
+    ZoneScope,
 };
 use domain::{ServiceName, UpstreamId};
 use question::{CheckBudget, ask_within_limit, may_ask};
@@ -105,13 +105,20 @@
     let candidates: Vec<UpstreamId> = {
         let upstreams = host.upstreams.borrow();
         let mut rng = host.rng.borrow_mut();
-        let part = (PROBES_PER_ROUND, Reach::Near);
+        let part = (PROBES_PER_ROUND, ZoneScope::Local);
         let pool = host.pool.borrow();
         let is_connected = |id: &UpstreamId| pool.holds(id);
         let held_back = host.held_back(&upstreams, service);
         let now_ms = host.now_ms();
-        let near = upstreams.to_ask(now_ms, service, &held_back, part, is_connected, &mut rng);
-        near.into_iter().filter(|id| !upstreams.is_other_zone(id)).collect()
+        let near = upstreams.choose_probe_targets(
+            now_ms,
+            service,
+            &held_back,
+            part,
+            is_connected,
+            &mut rng,
+        );
+        near.into_iter().filter(|id| !upstreams.is_in_other_zone(id)).collect()
     };
     if candidates.is_empty() {
         return None;
@@ -130,7 +137,7 @@
     host: &Host,
     service: &ServiceName,
     excluded: &mut Vec<UpstreamId>,
-    round: &[(usize, Reach)],
+    round: &[(usize, ZoneScope)],
 ) -> Vec<UpstreamId> {
     let upstreams = host.upstreams.borrow();
     let mut rng = host.rng.borrow_mut();
@@ -141,7 +148,14 @@
     let mut left_out = [excluded.clone(), host.held_back(&upstreams, service)].concat();
     let mut candidates = Vec::new();
     for &part in round {
-        let next = upstreams.to_ask(now_ms, service, &left_out, part, is_connected, &mut rng);
+        let next = upstreams.choose_probe_targets(
+            now_ms,
+            service,
+            &left_out,
+            part,
+            is_connected,
+            &mut rng,
+        );
         left_out.extend_from_slice(&next);
         candidates.extend(next);
     }
@@ -217,7 +231,7 @@
         Heard::Failure => return None,
     };
     let upstreams = host.upstreams.borrow();
-    if !upstreams.takes_work(&asked.upstream) {
+    if !upstreams.accepts_requests(&asked.upstream) {
         return None;
     }
     if !host.may_send(&upstreams, &asked.upstream) {
--- a/crates/gateway/src/ask/connect.rs
+++ b/crates/gateway/src/ask/connect.rs
@@ -27,7 +27,7 @@
     upstream: &UpstreamId,
     repeat: Idempotency,
 ) -> Option<Connection> {
-    let run = host.upstreams.borrow().run(upstream);
+    let run = host.upstreams.borrow().current_run(upstream);
     let kept = host.pool.borrow_mut().take(upstream, run);
     match kept {
         Some(connection) if is_trusted(&connection, repeat) && !connection.is_doubtful() => {
--- a/crates/gateway/src/serve/in_progress.rs
+++ b/crates/gateway/src/serve/in_progress.rs
@@ -4,7 +4,7 @@
 use crate::backpressure;
 use crate::host::Host;
 use crate::placing::PlacementGuard;
-use dispatch::SendFailure;
+use dispatch::AttemptFailure;
 use dispatch::backpressure::Backpressure;
 use dispatch::scheduler::Outcome;
 use domain::{Millis, ServiceName, UpstreamId};
@@ -45,7 +45,7 @@
         let (host, upstream) = (Rc::clone(host), upstream.clone());
         let sending = InProgress { host, upstream, entry, run, begun_ms, held, is_ended: false };
         match sending.host.upstreams.borrow_mut().get_mut(&sending.upstream) {
-            Some(known) if sending.is_noted_here() => known.note_sent(begun_ms),
+            Some(known) if sending.is_noted_here() => known.record_sent(begun_ms),
             _ => {}
         }
         sending
@@ -97,7 +97,7 @@
         let now_ms = self.host.now_ms();
         let mut upstreams = self.host.upstreams.borrow_mut();
         if let Some(known) = upstreams.get_run_mut(&self.upstream, self.run) {
-            known.note_ended(now_ms, outcome.failure);
+            known.record_ended(now_ms, outcome.failure);
         }
     }
 
@@ -109,7 +109,7 @@
     fn withdraw(&mut self) {
         let took_ms = self.host.now_ms().since(self.begun_ms);
         if took_ms > SILENT_MS {
-            let failure = Some(SendFailure::Silent);
+            let failure = Some(AttemptFailure::TimedOut);
             let outcome =
                 Outcome { failure, took_ms, report: None, backpressure: Backpressure::default() };
             if self.is_noted_here() {
@@ -122,7 +122,7 @@
             // A place that is held is given back as it is dropped.
             let mut upstreams = self.host.upstreams.borrow_mut();
             if let Some(known) = upstreams.get_run_mut(&self.upstream, self.run) {
-                known.note_withdrawn();
+                known.record_withdrawn();
             }
         }
     }
--- a/crates/gateway/src/serve/settling.rs
+++ b/crates/gateway/src/serve/settling.rs
@@ -5,7 +5,7 @@
 use crate::connection::Answer;
 use crate::event_log::LogEvent;
 use crate::host::duration;
-use dispatch::SendFailure;
+use dispatch::AttemptFailure;
 use dispatch::attempts::{self, AttemptResult, AttemptState, Cause, NextStep, Refusal};
 use domain::{Millis, UpstreamId};
 
@@ -52,7 +52,7 @@
             max_attempts: self.route().attempts,
             left_ms: self.end_ms.since(now_ms),
             is_budget_spent: needs_repeat
-                && self.host.repeats.borrow().left(self.host.now_ms(), &self.service) < 1.0,
+                && self.host.repeats.borrow().remaining(self.host.now_ms(), &self.service) < 1.0,
         };
         match (attempts::next_step(state, ended.end), ended.answer) {
             (NextStep::Deliver, Some(answer)) => {
@@ -62,7 +62,7 @@
             (NextStep::Deliver, None) => Some(Err(Refusal::may_have_run(Cause::UpstreamFailed))),
             (NextStep::Retry, answer) => {
                 if needs_repeat {
-                    self.host.repeats.borrow_mut().take(now_ms, &self.service);
+                    self.host.repeats.borrow_mut().try_spend(now_ms, &self.service);
                 }
                 if let (Some(answer), true) = (answer, is_own_failure(ended.end)) {
                     *kept = Some(KeptFailure { upstream: ended.upstream, answer });
@@ -101,7 +101,7 @@
             after_ms: now_ms.since(ended.sent_ms),
             status: ended.answer.as_ref().map(|answer| answer.head.status),
             is_not_run: attempts::is_not_run(ended.end),
-            repeats_left: self.host.repeats.borrow().left(self.host.now_ms(), &self.service),
+            repeats_left: self.host.repeats.borrow().remaining(self.host.now_ms(), &self.service),
             fingerprint: self.fingerprint(),
             has_crashed: ended.has_crashed,
         });
@@ -112,13 +112,13 @@
     matches!(end, AttemptResult::Answered(answered) if attempts::is_upstream_failure(answered))
 }
 
-pub(super) fn failure_of(end: AttemptResult) -> Option<SendFailure> {
+pub(super) fn failure_of(end: AttemptResult) -> Option<AttemptFailure> {
     match end {
-        AttemptResult::Answered(answered) if answered.not_run => Some(SendFailure::Shed),
+        AttemptResult::Answered(answered) if answered.not_run => Some(AttemptFailure::Shed),
         AttemptResult::Answered(answered) if answered.status >= 500 || !answered.is_sealed => {
-            Some(SendFailure::ErrorAnswer)
+            Some(AttemptFailure::ErrorResponse)
         }
         AttemptResult::Answered(_) => None,
-        AttemptResult::NotSent | AttemptResult::Broken => Some(SendFailure::Broken),
+        AttemptResult::NotSent | AttemptResult::Broken => Some(AttemptFailure::Disconnected),
     }
 }
