--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -12,7 +12,7 @@
 use crate::metrics::Metrics;
 use crate::operator::{self, Audience};
 use crate::peers::Peers;
-use crate::placing;
+use crate::placement;
 use crate::quarantine;
 use crate::reading::Readings;
 use crate::settings::Settings;
@@ -196,7 +196,7 @@
         spawn_local(Rc::clone(&peers).give(listeners.pictures));
         spawn_local(Rc::clone(&peers).greet());
         spawn_local(readings.run());
-        spawn_local(placing::run(Rc::clone(&host)));
+        spawn_local(placement::run(Rc::clone(&host)));
         spawn_local(chores(Rc::clone(&host), Rc::clone(&peers), reload, hangup));
         let flushing = Rc::clone(&host);
         spawn_local(async move { flushing.log.run().await });
@@ -233,7 +233,7 @@
     host.log.write(&LogEvent::Ready { is_ready: false, reason: "stopping" });
     host.stopping.send_replace(true);
     peers.act(Gossip::leave);
-    host.placing.schedulers.borrow_mut().stop_accepting();
+    host.placement.schedulers.borrow_mut().stop_accepting();
     clock::sleep(NOTICE.min(duration(limit_ms))).await;
     host.closing.send_replace(true);
     let is_busy = || host.open_requests.get() > 0 || host.open_sessions.get() > 0;
@@ -271,10 +271,10 @@
             }
         }
         peers.act(|gossip| gossip.expire(now_ms));
-        placing::note_order(&host);
-        placing::turn(&host);
-        quarantine::turn(&host);
-        backpressure::turn(&host);
+        placement::update_first_cells(&host);
+        placement::reschedule(&host);
+        quarantine::run_maintenance(&host);
+        backpressure::run_maintenance(&host);
         host.prune_connections();
     }
 }
@@ -283,8 +283,8 @@
     let late_ms = took_ms.since(Millis(CHORES.as_millis() as u64));
     if late_ms > PAUSED_MS {
         host.log.write(&LogEvent::Paused { for_ms: late_ms });
-        quarantine::ask_peers(host);
-        backpressure::ask_peers(host);
+        quarantine::request_from_peers(host);
+        backpressure::request_from_peers(host);
     }
 }
 
