--- a/crates/dispatch/src/backpressure.rs
+++ b/crates/dispatch/src/backpressure.rs
@@ -15,7 +15,7 @@
 pub use rate_limit::LimitChange;
 
 use crate::fleet_rate::FleetRate;
-use domain::{FastMap, Millis, Past, PerSecond, UpstreamId};
+use domain::{FastMap, Millis, PerSecond, SignedTime, UpstreamId};
 use published::RunStart;
 use serde::{Deserialize, Serialize};
 use stated::{Leaving, Stated};
@@ -121,7 +121,7 @@
             stated.leave(Leaving::Told);
         }
         if kind == AnswerKind::Served || said.rate_limit.is_some() {
-            let said_now = Past::ago(now_ms, Millis::ZERO);
+            let said_now = SignedTime::from_age(now_ms, Millis::ZERO);
             stated.limit.take(now_ms, said_now, said.rate_limit, sent_before);
         }
     }
@@ -134,7 +134,7 @@
         sent_before: impl Fn(&UpstreamId) -> f64,
     ) -> Vec<BackpressureChange> {
         let take = |told: ToldBackpressure| {
-            let said = Past::ago(now_ms, told.age_ms);
+            let said = SignedTime::from_age(now_ms, told.age_ms);
             let stated = self.of_run((&told.upstream, told.run))?;
             stated.heard_ms = now_ms;
             let before = sent_before(&told.upstream);
--- a/crates/dispatch/src/backpressure/rate_limit.rs
+++ b/crates/dispatch/src/backpressure/rate_limit.rs
@@ -1,7 +1,7 @@
 //! The limit that one run of an upstream names.
 
 use crate::fleet_rate::FleetRate;
-use domain::{Millis, Past, PerSecond};
+use domain::{Millis, PerSecond, SignedTime};
 use serde::Serialize;
 
 /// Smallest limit that is kept to: with nothing sent to an upstream that named zero, nobody would
@@ -29,7 +29,7 @@
     /// It named one before, and does no more.
     has_ended: bool,
     /// When the upstream said so last.
-    said: Option<Past>,
+    said: Option<SignedTime>,
     /// When it began to limit what it takes.
     since_ms: Millis,
     /// Requests that this host had sent it in the second before.
@@ -70,7 +70,7 @@
         rate: Option<PerSecond>,
         sent_before: f64,
     ) -> Option<LimitChange> {
-        self.said = Some(Past::ago(now_ms, Millis::ZERO));
+        self.said = Some(SignedTime::from_age(now_ms, Millis::ZERO));
         if !is_about(self.told, rate) {
             self.told = rate;
             self.is_untold = true;
@@ -82,7 +82,7 @@
     pub(super) fn take(
         &mut self,
         now_ms: Millis,
-        said: Past,
+        said: SignedTime,
         rate: Option<PerSecond>,
         sent_before: f64,
     ) -> Option<LimitChange> {
--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -6,7 +6,7 @@
 //! are kept below what is allowed, since hosts restart and forget what they spent, and
 //! know each other late.
 
-use domain::{FastMap, Millis, PerSecond, ServiceName, Share, UpstreamId, Wakefulness};
+use domain::{FastMap, Millis, PerSecond, ServiceName, Share, SuspensionDetector, UpstreamId};
 use std::collections::VecDeque;
 
 /// Part of the allowed share that is spent.
@@ -126,7 +126,7 @@
 pub struct AskBudget {
     per_second: PerSecond,
     tokens: FastMap<UpstreamId, (f64, Millis)>,
-    wakefulness: Wakefulness,
+    suspension_detector: SuspensionDetector,
 }
 
 /// Part of the health checks that the scheduler of a service spends on each upstream.
@@ -149,8 +149,8 @@
 impl AskBudget {
     /// A budget of what all hosts together may ask one upstream.
     pub fn new(per_second: PerSecond) -> AskBudget {
-        let wakefulness = Wakefulness::default();
-        AskBudget { per_second, tokens: FastMap::default(), wakefulness }
+        let suspension_detector = SuspensionDetector::default();
+        AskBudget { per_second, tokens: FastMap::default(), suspension_detector }
     }
 
     /// Takes another allowance into force.
@@ -161,7 +161,7 @@
     /// The process is awake. Nothing is saved up while it stands still: a fleet that wakes
     /// together would ask for all that time at once.
     pub fn note_awake(&mut self, now_ms: Millis) {
-        let still_ms = self.wakefulness.note(now_ms);
+        let still_ms = self.suspension_detector.record_awake(now_ms);
         if still_ms > Millis::ZERO {
             self.tokens.values_mut().for_each(|(_, at_ms)| *at_ms = *at_ms + still_ms);
         }
@@ -169,7 +169,7 @@
 
     /// Takes one question to the upstream, if there is one left.
     pub fn take(&mut self, now_ms: Millis, upstream: &UpstreamId, sharing_hosts: f64) -> bool {
-        if self.wakefulness.is_noted() {
+        if self.suspension_detector.has_record() {
             self.note_awake(now_ms);
         }
         let rate = self.per_second.0 * ASK_MARGIN / sharing_hosts.max(1.0);
--- a/crates/domain/src/ids.rs
+++ b/crates/domain/src/ids.rs
@@ -17,7 +17,7 @@
     /// The text has more than [`MAX_NAME_BYTES`] bytes.
     TooLong,
     /// The text holds a character that is not printable ASCII, or is a space.
-    BadCharacter(char),
+    InvalidCharacter(char),
 }
 
 impl fmt::Display for IdError {
@@ -27,7 +27,7 @@
             IdError::TooLong => {
                 write!(f, "the name is too long: use at most {MAX_NAME_BYTES} bytes")
             }
-            IdError::BadCharacter(c) => {
+            IdError::InvalidCharacter(c) => {
                 write!(f, "the name holds {c:?}: use printable ASCII without spaces")
             }
         }
@@ -40,7 +40,7 @@
     match text.chars().find(|c| !c.is_ascii_graphic()) {
         _ if text.is_empty() => Err(IdError::Empty),
         _ if text.len() > MAX_NAME_BYTES => Err(IdError::TooLong),
-        Some(c) => Err(IdError::BadCharacter(c)),
+        Some(c) => Err(IdError::InvalidCharacter(c)),
         None => Ok(()),
     }
 }
--- a/crates/domain/src/lib.rs
+++ b/crates/domain/src/lib.rs
@@ -3,19 +3,19 @@
 //! Each is a newtype, so that a number of slots can't be passed for a number of
 //! connections, and each reads and prints itself. This crate knows nothing of IO.
 
-mod awake;
 mod ids;
-mod past;
 mod quantities;
+mod signed_time;
+mod suspension;
 mod time;
 
-pub use awake::Wakefulness;
 pub use ids::{
     AttemptId, CallId, CallerId, HostId, IdError, IdempotencyKey, Incarnation, LeaseId, ProbeId,
     RequestFingerprint, ServiceName, SiteName, UpstreamId, Version, ZoneName,
 };
-pub use past::Past;
 pub use quantities::{ByteCount, Connections, ParseQuantityError, PerSecond, Share, Slots};
+pub use signed_time::SignedTime;
+pub use suspension::SuspensionDetector;
 pub use time::Millis;
 
 /// Hash map with a fast, unkeyed hasher, for keys that callers can't choose freely.
--- a/crates/domain/src/past.rs
+++ b/crates/domain/src/signed_time.rs
@@ -7,12 +7,12 @@
 
 /// A point in time of the process's own clock, or before it began.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Past(i64);
+pub struct SignedTime(i64);
 
-impl Past {
+impl SignedTime {
     /// So long before now.
-    pub fn ago(now_ms: Millis, age_ms: Millis) -> Past {
-        Past(signed(now_ms).saturating_sub(signed(age_ms)))
+    pub fn from_age(now_ms: Millis, age_ms: Millis) -> SignedTime {
+        SignedTime(signed(now_ms).saturating_sub(signed(age_ms)))
     }
 
     /// How long ago it is; nothing if it lies ahead.
--- a/crates/published/src/members.rs
+++ b/crates/published/src/members.rs
@@ -10,7 +10,7 @@
 pub use telling::Listener;
 
 use decision_core::{Job, Role};
-use domain::{FastMap, HostId, Incarnation, Millis, Wakefulness, ZoneName};
+use domain::{FastMap, HostId, Incarnation, Millis, SuspensionDetector, ZoneName};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -89,7 +89,7 @@
     /// When a host was last heard of for the first time, or in a new run.
     changed_ms: Millis,
     told: ToldFleet,
-    wakefulness: Wakefulness,
+    suspension_detector: SuspensionDetector,
 }
 
 /// Size of the fleet that another host told.
@@ -125,7 +125,7 @@
             others_in_zone: 0,
             changed_ms: Millis::ZERO,
             told: ToldFleet::default(),
-            wakefulness: Wakefulness::default(),
+            suspension_detector: SuspensionDetector::default(),
         }
     }
 
@@ -278,7 +278,7 @@
     /// Nobody is heard while this host itself stands still. To forget them all for that would let
     /// it spend the fleet's budgets alone.
     pub fn forget(&mut self, now_ms: Millis) -> Vec<HostId> {
-        let still_ms = self.wakefulness.note(now_ms);
+        let still_ms = self.suspension_detector.record_awake(now_ms);
         self.others.values_mut().for_each(|known| known.heard_ms = known.heard_ms + still_ms);
         self.leaving.retain(|_, (_, left_ms)| now_ms.since(*left_ms) < LEAVING_MS);
         if now_ms.since(self.told.at_ms) > FLEET_TOLD_MS {
