--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -74,7 +74,7 @@
     }
 
     /// Time left until a point, zero if it has passed.
-    pub fn until(&self, point: Millis) -> Duration {
+    pub fn time_until(&self, point: Millis) -> Duration {
         self.moment(point).left()
     }
 
@@ -157,7 +157,7 @@
 }
 
 /// Notices when the machine was suspended, and wakes all who wait; never ends.
-pub async fn watch() {
+pub async fn watch_for_suspension() {
     let mut ahead = ahead_of_steady();
     loop {
         tokio::time::sleep(LOOK).await;
--- a/crates/clock/tests/suspended.rs
+++ b/crates/clock/tests/suspended.rs
@@ -14,7 +14,7 @@
 fn on_one_thread(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
-        let watching = clock::watch();
+        let watching = clock::watch_for_suspension();
         tokio::select! {
             () = test => {}
             () = watching => {}
@@ -29,7 +29,7 @@
     testing::suspend(HOUR);
     assert!(moment.elapsed() >= HOUR);
     assert!(clock.now() >= Millis::from_secs(3_600));
-    assert_eq!(clock.until(Millis::from_secs(3_600)), Duration::ZERO);
+    assert_eq!(clock.time_until(Millis::from_secs(3_600)), Duration::ZERO);
 }
 
 #[test]
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -44,7 +44,7 @@
         operator: listen::bind(Role::Operator, settings.operator_address)?,
     };
     let driver = driver(&settings)?;
-    tokio::spawn(clock::watch());
+    tokio::spawn(clock::watch_for_suspension());
     tokio::spawn(Arc::clone(&driver).tick());
     tokio::spawn(watch_signals(Arc::clone(&driver), signals));
     tokio::spawn(watch_hangups(stop_signal(SignalKind::hangup())?));
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -191,7 +191,7 @@
             }
             None => {}
         }
-        spawn_local(clock::watch());
+        spawn_local(clock::watch_for_suspension());
         spawn_local(Rc::clone(&peers).listen());
         spawn_local(Rc::clone(&peers).give(listeners.pictures));
         spawn_local(Rc::clone(&peers).greet());
--- a/crates/gateway/src/serve/finding.rs
+++ b/crates/gateway/src/serve/finding.rs
@@ -47,7 +47,7 @@
         &self,
         counts: &mut SendingCounts,
     ) -> Result<(Found, Connection), Refusal> {
-        let left = self.host.clock.until(self.end_ms);
+        let left = self.host.clock.time_until(self.end_ms);
         match clock::timeout(left, self.find(counts)).await {
             Ok(found) => found,
             Err(_) => Err(out_of_time(counts)),
--- a/crates/listener/src/lib.rs
+++ b/crates/listener/src/lib.rs
@@ -56,7 +56,7 @@
 
 /// Closes a [`Listener`].
 #[derive(Debug)]
-pub struct Closing {
+pub struct CloseHandle {
     phase: watch::Sender<Phase>,
 }
 
@@ -73,18 +73,18 @@
     /// # Errors
     ///
     /// If the machine denies the socket's address.
-    pub fn new(listener: TcpListener) -> io::Result<(Listener, Closing)> {
+    pub fn new(listener: TcpListener) -> io::Result<(Listener, CloseHandle)> {
         let socket = SockRef::from(&listener).try_clone()?;
         let acceptor = TcpAcceptor::try_from(listener)?;
         let phase = watch::Sender::new(Phase::Open);
-        let closing = Closing { phase: phase.clone() };
+        let closing = CloseHandle { phase: phase.clone() };
         let holdings = acceptor.holdings().to_vec();
         let open = Some(OpenListener { acceptor, socket });
         Ok((Listener { open, holdings, phase }, closing))
     }
 }
 
-impl Closing {
+impl CloseHandle {
     /// Closes the socket once everything that has connected to it is accepted.
     pub async fn close(&self) {
         let mut phase = self.phase.subscribe();
--- a/crates/standins/src/server.rs
+++ b/crates/standins/src/server.rs
@@ -2,7 +2,7 @@
 
 use crate::connections::{Admission, Connections};
 use error_stack::{Report, ResultExt};
-use listener::{Closing, Listener};
+use listener::{CloseHandle, Listener};
 use salvo::conn::ConnCtrl;
 use salvo::http::{Request, Response, StatusCode};
 use salvo::server::ServerHandle;
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub(crate) struct Running {
     pub(crate) address: SocketAddr,
-    closing: Closing,
+    closing: CloseHandle,
     connections: Connections,
     control: ServerHandle,
     task: JoinHandle<()>,
