--- a/crates/gateway/src/backpressure.rs
+++ b/crates/gateway/src/backpressure.rs
@@ -135,14 +135,14 @@
     let digest = host.upstreams.borrow().backpressure().digest();
     if digest != 0 {
         let offer = Datagram::Backpressure(BackpressureMessage::Offer { digest });
-        fleet_message::tell_some(host, &offer, 1);
+        fleet_message::send_to_random_peers(host, &offer, 1);
     }
 }
 
 /// Peers were heard of. After the start they are asked for what upstreams said before.
 pub fn note_peers(host: &Host) {
     let asked = host.backpressure_asks.get();
-    if asked < fleet_message::START_ASKS {
+    if asked < fleet_message::START_REQUESTS {
         host.backpressure_asks.set(asked + 1);
         ask_peers(host);
     }
@@ -152,7 +152,7 @@
 pub fn ask_peers(host: &Host) {
     let digest = host.upstreams.borrow().backpressure().digest();
     let ask = Datagram::Backpressure(BackpressureMessage::Ask { digest });
-    fleet_message::ask_some(host, &ask);
+    fleet_message::request_from_random_peers(host, &ask);
 }
 
 /// Takes a peer's message; true if the peer waits to hear that this host is there.
@@ -161,7 +161,7 @@
     match message {
         BackpressureMessage::Stated { told, passes_on } => {
             if passes_on {
-                fleet_message::pass_on(host, &stated(told.clone(), false));
+                fleet_message::forward_in_zone(host, &stated(told.clone(), false));
             }
             let now_ms = host.now_ms();
             let changed = host.upstreams.borrow_mut().take_backpressure(now_ms, told);
@@ -195,7 +195,7 @@
             ..told.clone()
         };
         let told: Vec<ToldBackpressure> = untold.iter().map(later).collect();
-        fleet_message::tell_fleet(host, |passes_on| stated(told.clone(), passes_on));
+        fleet_message::broadcast(host, |passes_on| stated(told.clone(), passes_on));
     }
 }
 
--- a/crates/gateway/src/fleet_message.rs
+++ b/crates/gateway/src/fleet_message.rs
@@ -14,10 +14,10 @@
 const ASKED_PEERS: usize = 3;
 
 /// How often a host asks for the same after its start: once the first peer is known, and once more are.
-pub const START_ASKS: u32 = 2;
+pub const START_REQUESTS: u32 = 2;
 
 /// Tells all hosts; the message differs for those that are to pass it on in their zone.
-pub fn tell_fleet(host: &Host, message: impl Fn(bool) -> Datagram) {
+pub fn broadcast(host: &Host, message: impl Fn(bool) -> Datagram) {
     let listeners = host.gossip.borrow_mut().listeners(host.now_ms());
     for passes_on in [true, false] {
         let told = listeners.iter().filter(|listener| listener.passes_on == passes_on);
@@ -27,13 +27,13 @@
 }
 
 /// Passes a message on in this host's zone.
-pub fn pass_on(host: &Host, message: &Datagram) {
+pub fn forward_in_zone(host: &Host, message: &Datagram) {
     let neighbours = host.members().neighbours();
     send(host, message, &neighbours);
 }
 
 /// Tells some peers, drawn at random.
-pub fn tell_some(host: &Host, message: &Datagram, most: usize) {
+pub fn send_to_random_peers(host: &Host, message: &Datagram, most: usize) {
     let mut others: Vec<SocketAddr> =
         host.members().others().map(|member| member.address).collect();
     let (some, _) = others.partial_shuffle(&mut *host.rng.borrow_mut(), most);
@@ -41,8 +41,8 @@
 }
 
 /// Asks some peers for what this host missed: it has just started, or stood still.
-pub fn ask_some(host: &Host, ask: &Datagram) {
-    tell_some(host, ask, ASKED_PEERS);
+pub fn request_from_random_peers(host: &Host, ask: &Datagram) {
+    send_to_random_peers(host, ask, ASKED_PEERS);
 }
 
 /// Tells hosts.
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -152,14 +152,14 @@
     host.quarantine.borrow_mut().settle(now_ms);
     let Some(digest) = host.quarantine.borrow_mut().offer(now_ms) else { return };
     let offer = Datagram::Quarantine(QuarantineMessage::Offer { digest });
-    fleet_message::tell_some(host, &offer, 1);
+    fleet_message::send_to_random_peers(host, &offer, 1);
 }
 
 /// Peers were heard of. After the start they are asked for what this host missed, a few times only:
 /// hundreds of hosts that start together hear of each other in dozens of messages.
 pub fn note_peers(host: &Host) {
     let asked = host.quarantine_asks.get();
-    if asked < fleet_message::START_ASKS && host.quarantine.borrow().is_empty() {
+    if asked < fleet_message::START_REQUESTS && host.quarantine.borrow().is_empty() {
         host.quarantine_asks.set(asked + 1);
         ask_peers(host);
     }
@@ -169,7 +169,7 @@
 pub fn ask_peers(host: &Host) {
     let digest = host.quarantine.borrow().digest();
     let ask = Datagram::Quarantine(QuarantineMessage::Ask { digest });
-    fleet_message::ask_some(host, &ask);
+    fleet_message::request_from_random_peers(host, &ask);
 }
 
 /// Takes a peer's message; true if the peer waits to hear that this host is there.
@@ -181,7 +181,7 @@
             if passes_on {
                 let passed =
                     QuarantineMessage::Suspects { suspects: suspects.clone(), passes_on: false };
-                fleet_message::pass_on(host, &Datagram::Quarantine(passed));
+                fleet_message::forward_in_zone(host, &Datagram::Quarantine(passed));
             }
             let changed = host.quarantine.borrow_mut().take(now_ms, suspects);
             announce(host, changed);
@@ -203,7 +203,7 @@
 fn tell_fleet(host: &Host) {
     let untold = host.quarantine.borrow_mut().take_untold(host.now_ms());
     let Some(suspects) = untold else { return };
-    fleet_message::tell_fleet(host, |passes_on| {
+    fleet_message::broadcast(host, |passes_on| {
         let suspects = suspects.clone();
         Datagram::Quarantine(QuarantineMessage::Suspects { suspects, passes_on })
     });
