--- a/crates/gateway/src/ask/question.rs
+++ b/crates/gateway/src/ask/question.rs
@@ -69,9 +69,9 @@
 ) -> bool {
     let (upstreams, fleet) = (host.upstreams.borrow(), host.fleet_shape());
     let (budget, sharing) = match budget {
-        CheckBudget::Own => (&host.asks, upstreams.sharing_hosts(service, upstream, fleet)),
+        CheckBudget::Own => (&host.probe_budget, upstreams.sharing_hosts(service, upstream, fleet)),
         CheckBudget::Neighbours => {
-            (&host.neighbours_asks, upstreams.sharing_neighbours(service, fleet))
+            (&host.zone_probe_budget, upstreams.sharing_neighbours(service, fleet))
         }
     };
     budget.borrow_mut().take(host.now_ms(), upstream, sharing)
--- a/crates/gateway/src/backpressure.rs
+++ b/crates/gateway/src/backpressure.rs
@@ -117,13 +117,14 @@
     let now_ms = host.now_ms();
     let changed = host.upstreams.borrow_mut().note_backpressure(now_ms, at, kind, said);
     announce(host, changed, "upstream");
-    if host.upstreams.borrow().backpressure().is_untold() && !host.tells_backpressure.replace(true)
+    if host.upstreams.borrow().backpressure().is_untold()
+        && !host.is_backpressure_broadcast_due.replace(true)
     {
         let host = Rc::clone(host);
         tokio::task::spawn_local(async move {
             let part = host.rng.borrow_mut().random::<f64>();
             clock::sleep(TELL_WITHIN.mul_f64(part)).await;
-            host.tells_backpressure.set(false);
+            host.is_backpressure_broadcast_due.set(false);
             tell_fleet(&host).await;
         });
     }
@@ -141,9 +142,9 @@
 
 /// Peers were heard of. After the start they are asked for what upstreams said before.
 pub fn note_peers(host: &Host) {
-    let asked = host.backpressure_asks.get();
+    let asked = host.backpressure_requests_sent.get();
     if asked < fleet_message::START_REQUESTS {
-        host.backpressure_asks.set(asked + 1);
+        host.backpressure_requests_sent.set(asked + 1);
         ask_peers(host);
     }
 }
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -50,33 +50,33 @@
     /// What is known of upstreams.
     pub upstreams: RefCell<UpstreamSet>,
     /// Repeats that this host may spend.
-    pub repeats: RefCell<RepeatBudget>,
+    pub retry_budget: RefCell<RepeatBudget>,
     /// Health checks that this host may spend on its own requests.
-    pub asks: RefCell<AskBudget>,
+    pub probe_budget: RefCell<AskBudget>,
     /// Those that it may spend besides on upstreams of its availability zone.
-    pub neighbours_asks: RefCell<AskBudget>,
+    pub zone_probe_budget: RefCell<AskBudget>,
     /// What this host may send by itself to upstreams that take a rate from the whole fleet.
-    pub rates: RefCell<RateSender>,
+    pub rate_limiter: RefCell<RateSender>,
     /// Its part in scheduling.
     pub placing: Placing,
     /// Where split routes stand.
-    pub splits: RefCell<SplitTable>,
+    pub split_table: RefCell<SplitTable>,
     /// Idle connections to upstreams.
     pub pool: RefCell<Pool>,
     /// Requests that crash upstreams.
     pub quarantine: RefCell<Quarantine>,
     /// How often peers were asked after the start what is held against requests.
-    pub quarantine_asks: Cell<u32>,
+    pub quarantine_requests_sent: Cell<u32>,
     /// How often peers were asked after the start what upstreams said of the load that they bear.
-    pub backpressure_asks: Cell<u32>,
+    pub backpressure_requests_sent: Cell<u32>,
     /// Whether peers are to be told of that in a moment.
-    pub tells_backpressure: Cell<bool>,
+    pub is_backpressure_broadcast_due: Cell<bool>,
     /// Woken when something else is held against a request, or a trial ended.
-    pub quarantine_news: Notify,
+    pub quarantine_changed: Notify,
     /// What upstreams say that nothing reads.
-    pub unread: RefCell<UnreadMarks>,
+    pub unread_headers: RefCell<UnreadMarks>,
     /// Marks that are read, with values that make no sense.
-    pub unreadable: RefCell<UnreadMarks>,
+    pub malformed_headers: RefCell<UnreadMarks>,
     /// Randomness.
     pub rng: RefCell<Pcg64Mcg>,
     /// Structured logs.
@@ -84,21 +84,21 @@
     /// Counts.
     pub metrics: Metrics,
     /// Woken when the picture changed or was confirmed.
-    pub news: Notify,
+    pub state_updated: Notify,
     /// Callers wait for the first routing, or did.
-    pub awaits_routing: Cell<bool>,
+    pub is_routing_awaited: Cell<bool>,
     /// Requests without a final answer.
     pub open_requests: Cell<usize>,
     /// Callers' connections that are open.
-    pub open_sessions: Cell<usize>,
+    pub open_caller_connections: Cell<usize>,
     /// Large answers that are being given to peers.
-    pub large_answers: Cell<usize>,
+    pub large_replies_in_progress: Cell<usize>,
     /// Calls to the source so far.
     pub source_calls: Cell<u64>,
     /// Turns true when the process is to stop.
     pub stopping: watch::Sender<bool>,
     /// Turns true when callers' connections are to be closed as soon as they are idle.
-    pub closing: watch::Sender<bool>,
+    pub closing_idle: watch::Sender<bool>,
 }
 
 impl Host {
@@ -123,36 +123,36 @@
                 settings.host.clone(),
                 settings.availability_zone.clone(),
             )),
-            repeats: RefCell::new(RepeatBudget::new(settings.limits.repeats, now_ms)),
-            asks: RefCell::new(AskBudget::new(own_asks(&settings))),
-            neighbours_asks: RefCell::new(AskBudget::new(neighbours_asks(&settings))),
-            rates: RefCell::new(RateSender::new(settings.host.clone())),
+            retry_budget: RefCell::new(RepeatBudget::new(settings.limits.repeats, now_ms)),
+            probe_budget: RefCell::new(AskBudget::new(own_asks(&settings))),
+            zone_probe_budget: RefCell::new(AskBudget::new(neighbours_asks(&settings))),
+            rate_limiter: RefCell::new(RateSender::new(settings.host.clone())),
             placing: Placing::new(
                 socket,
                 settings.host.clone(),
                 AskBudget::new(schedulers_asks(&settings)),
                 seed,
             ),
-            splits: RefCell::default(),
+            split_table: RefCell::default(),
             pool: RefCell::default(),
             quarantine: RefCell::default(),
-            quarantine_asks: Cell::new(0),
-            backpressure_asks: Cell::new(0),
-            tells_backpressure: Cell::new(false),
-            quarantine_news: Notify::new(),
-            unread: RefCell::default(),
-            unreadable: RefCell::default(),
+            quarantine_requests_sent: Cell::new(0),
+            backpressure_requests_sent: Cell::new(0),
+            is_backpressure_broadcast_due: Cell::new(false),
+            quarantine_changed: Notify::new(),
+            unread_headers: RefCell::default(),
+            malformed_headers: RefCell::default(),
             rng: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
             log,
             metrics,
-            news: Notify::new(),
-            awaits_routing: Cell::new(false),
+            state_updated: Notify::new(),
+            is_routing_awaited: Cell::new(false),
             open_requests: Cell::new(0),
-            open_sessions: Cell::new(0),
-            large_answers: Cell::new(0),
+            open_caller_connections: Cell::new(0),
+            large_replies_in_progress: Cell::new(0),
             source_calls: Cell::new(0),
             stopping: watch::Sender::new(false),
-            closing: watch::Sender::new(false),
+            closing_idle: watch::Sender::new(false),
             settings: RefCell::new(settings),
         })
     }
@@ -224,16 +224,16 @@
         if !beliefs.is_empty() {
             self.adopt();
         }
-        self.news.notify_waiters();
+        self.state_updated.notify_waiters();
     }
 
     /// Takes another settings file into force; addresses stay those of the start.
     pub fn reload(&self, settings: Settings) {
         let mut held = self.settings.borrow_mut();
         let is_changed = *held != settings;
-        self.repeats.borrow_mut().set_allowed(settings.limits.repeats);
-        self.asks.borrow_mut().set_allowed(own_asks(&settings));
-        self.neighbours_asks.borrow_mut().set_allowed(neighbours_asks(&settings));
+        self.retry_budget.borrow_mut().set_allowed(settings.limits.repeats);
+        self.probe_budget.borrow_mut().set_allowed(own_asks(&settings));
+        self.zone_probe_budget.borrow_mut().set_allowed(neighbours_asks(&settings));
         self.placing.asks.borrow_mut().set_allowed(schedulers_asks(&settings));
         held.limits = settings.limits;
         held.seeds = settings.seeds;
@@ -244,7 +244,7 @@
     /// The process is awake: budgets save nothing up for the time in which it wasn't.
     pub fn note_awake(&self) {
         let now_ms = self.now_ms();
-        for asks in [&self.asks, &self.neighbours_asks, &self.placing.asks] {
+        for asks in [&self.probe_budget, &self.zone_probe_budget, &self.placing.asks] {
             asks.borrow_mut().note_awake(now_ms);
         }
     }
@@ -271,12 +271,12 @@
         self.upstreams.borrow_mut().sync(now_ms, picture.upstreams(), evacuations);
         let is_known = |id: &UpstreamId| picture.upstream(id).is_some();
         self.prune_connections();
-        self.asks.borrow_mut().retain(is_known);
-        self.neighbours_asks.borrow_mut().retain(is_known);
+        self.probe_budget.borrow_mut().retain(is_known);
+        self.zone_probe_budget.borrow_mut().retain(is_known);
         self.placing.asks.borrow_mut().retain(is_known);
-        self.rates.borrow_mut().retain(now_ms, is_known);
-        self.unread.borrow_mut().retain(is_known);
-        self.unreadable.borrow_mut().retain(is_known);
+        self.rate_limiter.borrow_mut().retain(now_ms, is_known);
+        self.unread_headers.borrow_mut().retain(is_known);
+        self.malformed_headers.borrow_mut().retain(is_known);
         let Some(entry) = picture.routing() else { return };
         self.upstreams.borrow_mut().set_cold_rates(entry.value.services.iter());
         let mut table = self.table.borrow_mut();
@@ -289,7 +289,7 @@
         }
         *table = Some(Rc::new(RouteTable::new(std::sync::Arc::clone(&entry.value))));
         let names = |name: &str| entry.value.routes.iter().any(|route| route.name == name);
-        self.splits.borrow_mut().retain(names);
+        self.split_table.borrow_mut().retain(names);
     }
 }
 
--- a/crates/gateway/src/host/answers.rs
+++ b/crates/gateway/src/host/answers.rs
@@ -9,7 +9,7 @@
 impl Host {
     /// Tells operators what an upstream's answer says that nothing here reads.
     pub fn note_unread(&self, upstream: &UpstreamId, fields: &HeadFields, on: AnswerTo) {
-        let mut unread = self.unread.borrow_mut();
+        let mut unread = self.unread_headers.borrow_mut();
         for mark in unread.note(self.now_ms(), upstream, fields, &self.dialect) {
             let (mark, value) = (&mark.name, &mark.value);
             self.log.write(&LogEvent::MarkUnread { upstream, on, mark, value });
@@ -20,7 +20,7 @@
     /// what was known holds on.
     pub fn note_unreadable(&self, upstream: &UpstreamId, name: &str, value: &[u8]) {
         let mark = UnreadMark::new(name, value);
-        if self.unreadable.borrow_mut().is_due(self.now_ms(), upstream, &mark) {
+        if self.malformed_headers.borrow_mut().is_due(self.now_ms(), upstream, &mark) {
             let (mark, value) = (&mark.name, &mark.value);
             self.log.write(&LogEvent::AnswerUnreadable { upstream, mark, value });
         }
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -96,7 +96,7 @@
 ///
 /// Then the port is closed too: a connection that nobody would read is better refused.
 pub async fn accept(host: Rc<Host>, listener: TcpListener) {
-    let mut closing = host.closing.subscribe();
+    let mut closing = host.closing_idle.subscribe();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -132,13 +132,13 @@
         active: now,
         is_last: false,
     };
-    session.host.open_sessions.update(|open| open + 1);
+    session.host.open_caller_connections.update(|open| open + 1);
     session.run().await;
     for pending in &session.pending {
         pending.abandon(&session.host);
     }
     linger(&session.caller).await;
-    session.host.open_sessions.update(|open| open - 1);
+    session.host.open_caller_connections.update(|open| open - 1);
 }
 
 /// What a session waits for next.
@@ -205,7 +205,7 @@
     async fn wait(&mut self) -> Next {
         let is_reading = self.caller.has_room();
         let late = self.late_at();
-        let mut closing = self.host.closing.subscribe();
+        let mut closing = self.host.closing_idle.subscribe();
         let is_closing = *closing.borrow();
         if is_closing && self.is_idle() {
             return Next::Closing;
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -172,7 +172,7 @@
         backing_off: host.upstreams.borrow().backpressure().backing_off(host.now_ms()).count()
             as u64,
         leaving_upstreams: host.upstreams.borrow().backpressure().count_leaving() as u64,
-        unread_marks: host.unread.borrow().count_names() as u64,
+        unread_marks: host.unread_headers.borrow().count_names() as u64,
         picture_age: host.picture_age_ms().map(crate::host::duration),
     });
     (200, "text/plain; version=0.0.4", host.metrics.render())
--- a/crates/gateway/src/peers/fetch.rs
+++ b/crates/gateway/src/peers/fetch.rs
@@ -86,16 +86,16 @@
     /// None if as many as may be are being given.
     fn take(host: &Host, bytes: usize) -> Option<Turn<'_>> {
         let is_large = bytes >= LARGE_BYTES;
-        if is_large && host.large_answers.get() >= LARGE_AT_ONCE {
+        if is_large && host.large_replies_in_progress.get() >= LARGE_AT_ONCE {
             return None;
         }
-        host.large_answers.update(|giving| giving + usize::from(is_large));
+        host.large_replies_in_progress.update(|giving| giving + usize::from(is_large));
         Some(Turn { host, is_large })
     }
 }
 
 impl Drop for Turn<'_> {
     fn drop(&mut self) {
-        self.host.large_answers.update(|giving| giving - usize::from(self.is_large));
+        self.host.large_replies_in_progress.update(|giving| giving - usize::from(self.is_large));
     }
 }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -129,7 +129,7 @@
 /// A trial of this host ended.
 pub fn end_trial(host: &Host, fingerprint: RequestFingerprint) {
     host.quarantine.borrow_mut().end_trial(fingerprint);
-    host.quarantine_news.notify_waiters();
+    host.quarantine_changed.notify_waiters();
 }
 
 /// An operator lifts the verdict on a request; false if there is none.
@@ -158,9 +158,9 @@
 /// Peers were heard of. After the start they are asked for what this host missed, a few times only:
 /// hundreds of hosts that start together hear of each other in dozens of messages.
 pub fn note_peers(host: &Host) {
-    let asked = host.quarantine_asks.get();
+    let asked = host.quarantine_requests_sent.get();
     if asked < fleet_message::START_REQUESTS && host.quarantine.borrow().is_empty() {
-        host.quarantine_asks.set(asked + 1);
+        host.quarantine_requests_sent.set(asked + 1);
         ask_peers(host);
     }
 }
@@ -217,7 +217,7 @@
 fn announce(host: &Host, changed: impl IntoIterator<Item = Changed>) {
     let now_ms = host.now_ms();
     for changed in changed {
-        host.quarantine_news.notify_waiters();
+        host.quarantine_changed.notify_waiters();
         host.log.write(&LogEvent::Quarantine {
             fingerprint: changed.fingerprint,
             change: changed.change,
--- a/crates/gateway/src/reading.rs
+++ b/crates/gateway/src/reading.rs
@@ -56,7 +56,7 @@
             }
             let step = {
                 let gossip = self.host.gossip.borrow();
-                let is_wanted = self.host.awaits_routing.get();
+                let is_wanted = self.host.is_routing_awaited.get();
                 self.reader.step(self.host.now_ms(), gossip.members(), gossip.picture(), is_wanted)
             };
             self.note_part();
@@ -75,7 +75,7 @@
 
     async fn wait_until(&self, until_ms: Millis) {
         tokio::select! {
-            () = self.host.news.notified() => {}
+            () = self.host.state_updated.notified() => {}
             () = self.host.clock.sleep_until(until_ms) => {}
         }
     }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -235,8 +235,8 @@
     peers.act(Gossip::leave);
     host.placing.schedulers.borrow_mut().leave();
     clock::sleep(NOTICE.min(duration(limit_ms))).await;
-    host.closing.send_replace(true);
-    let is_busy = || host.open_requests.get() > 0 || host.open_sessions.get() > 0;
+    host.closing_idle.send_replace(true);
+    let is_busy = || host.open_requests.get() > 0 || host.open_caller_connections.get() > 0;
     while is_busy() && host.now_ms().since(begun_ms) < limit_ms {
         clock::sleep(STOP_STEP).await;
     }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -163,7 +163,7 @@
     let matched = matched.ok_or(Refusal::not_run(Cause::NoRoute))?;
     let service = next_service(host, &matched.route)?;
     let now_ms = host.now_ms();
-    host.repeats.borrow_mut().earn(now_ms, &service, host.hosts());
+    host.retry_budget.borrow_mut().earn(now_ms, &service, host.hosts());
     let arrived_ms = request.arrived_ms;
     let stated_ms = request.stated_ms(host.dialect.deadline_ms);
     let deadline_ms = stated_ms.map_or(Millis::MAX, |stated_ms| arrived_ms + stated_ms);
--- a/crates/gateway/src/serve/admission.rs
+++ b/crates/gateway/src/serve/admission.rs
@@ -12,7 +12,7 @@
     /// Waits while another host tries a request that asks the same; refuses what is held back.
     pub(super) async fn wait_for_trial(&self, counts: &SendingCounts) -> Result<(), Refusal> {
         loop {
-            let news = self.host.quarantine_news.notified();
+            let news = self.host.quarantine_changed.notified();
             let for_ms = match self.admission() {
                 Admission::Free | Admission::Trial => return Ok(()),
                 Admission::Held { for_ms } => return Err(held_back(for_ms, counts)),
--- a/crates/gateway/src/serve/in_progress.rs
+++ b/crates/gateway/src/serve/in_progress.rs
@@ -63,7 +63,7 @@
             return std::future::pending().await;
         }
         loop {
-            let news = self.host.news.notified();
+            let news = self.host.state_updated.notified();
             if self.host.upstreams.borrow().has_restarted(&self.upstream, self.run) {
                 return;
             }
--- a/crates/gateway/src/serve/routing.rs
+++ b/crates/gateway/src/serve/routing.rs
@@ -21,15 +21,15 @@
     if host.table.borrow().is_some() {
         return;
     }
-    if !host.awaits_routing.replace(true) {
-        host.news.notify_waiters();
+    if !host.is_routing_awaited.replace(true) {
+        host.state_updated.notify_waiters();
     }
     let stated_ms = request.stated_ms(host.dialect.deadline_ms).unwrap_or_default();
     let part_ms = Millis((stated_ms.as_f64() * ROUTING_WAIT_PART) as u64);
     let until_ms = request.arrived_ms + ROUTING_WAIT_MS.max(part_ms);
     while host.table.borrow().is_none() && host.now_ms() < until_ms {
         tokio::select! {
-            () = host.news.notified() => {}
+            () = host.state_updated.notified() => {}
             () = host.clock.sleep_until(until_ms) => {}
         }
     }
@@ -37,7 +37,7 @@
 
 /// The service of a route's next request.
 pub(super) fn next_service(host: &Host, route: &Route) -> Result<ServiceName, Refusal> {
-    let mut splits = host.splits.borrow_mut();
+    let mut splits = host.split_table.borrow_mut();
     let service = splits.next(&route.name, &route.split, &mut host.rng.borrow_mut());
     service.ok_or(Refusal::not_run(Cause::NoRoute))
 }
--- a/crates/gateway/src/serve/settling.rs
+++ b/crates/gateway/src/serve/settling.rs
@@ -52,7 +52,7 @@
             attempts: self.route().attempts,
             left_ms: self.end_ms.since(now_ms),
             is_budget_spent: needs_repeat
-                && self.host.repeats.borrow().left(self.host.now_ms(), &self.service) < 1.0,
+                && self.host.retry_budget.borrow().left(self.host.now_ms(), &self.service) < 1.0,
         };
         match (attempts::next(state, ended.end), ended.answer) {
             (Next::Deliver, Some(answer)) => {
@@ -62,7 +62,7 @@
             (Next::Deliver, None) => Some(Err(Refusal::unknown(Cause::UpstreamFailed))),
             (Next::SendAgain, answer) => {
                 if needs_repeat {
-                    self.host.repeats.borrow_mut().take(now_ms, &self.service);
+                    self.host.retry_budget.borrow_mut().take(now_ms, &self.service);
                 }
                 if let (Some(answer), true) = (answer, is_own_failure(ended.end)) {
                     *kept = Some(KeptFailure { upstream: ended.upstream, answer });
@@ -101,7 +101,7 @@
             after_ms: now_ms.since(ended.sent_ms),
             status: ended.answer.as_ref().map(|answer| answer.head.status),
             is_not_run: attempts::is_not_run(ended.end),
-            repeats_left: self.host.repeats.borrow().left(self.host.now_ms(), &self.service),
+            repeats_left: self.host.retry_budget.borrow().left(self.host.now_ms(), &self.service),
             fingerprint: self.fingerprint(),
             has_crashed: ended.has_crashed,
         });
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -197,7 +197,7 @@
             assert!(matches!(got.status, 200 | 504), "{got:?}");
         };
         tokio::join!(stopping, asking);
-        assert_eq!(leaving.host().open_sessions.get(), 0);
+        assert_eq!(leaving.host().open_caller_connections.get(), 0);
         until("the other knows", || staying.host().hosts() == 1).await;
     });
 }
