--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -105,7 +105,7 @@
         let part = (ASKED_AT_ONCE, Reach::Near);
         let pool = host.pool.borrow();
         let is_connected = |id: &UpstreamId| pool.holds(id);
-        let held_back = host.held_back(&upstreams, service);
+        let held_back = host.rate_limited_upstreams(&upstreams, service);
         let now_ms = host.now_ms();
         let near = upstreams.to_ask(now_ms, service, &held_back, part, is_connected, &mut rng);
         near.into_iter().filter(|id| !upstreams.is_other_zone(id)).collect()
@@ -135,7 +135,8 @@
     let is_connected = |id: &UpstreamId| pool.holds(id);
     let now_ms = host.now_ms();
     // What is held back now may be asked in a later round.
-    let mut left_out = [excluded.clone(), host.held_back(&upstreams, service)].concat();
+    let mut left_out =
+        [excluded.clone(), host.rate_limited_upstreams(&upstreams, service)].concat();
     let mut candidates = Vec::new();
     for &part in round {
         let next = upstreams.to_ask(now_ms, service, &left_out, part, is_connected, &mut rng);
--- a/crates/gateway/src/ask/question.rs
+++ b/crates/gateway/src/ask/question.rs
@@ -150,7 +150,7 @@
     let expected = Expected { has_body: true, id, silence: None };
     let answer = connection.exchange(request.as_bytes(), expected).await;
     let answer = answer.map_err(|_| AskFailure::Unreachable)?;
-    host.note_unread(upstream, &answer.head.fields, AnswerTo::HealthCheck);
+    host.log_unread_headers(upstream, &answer.head.fields, AnswerTo::HealthCheck);
     let is_other = |id: &str| id != upstream.as_str();
     if answer.head.fields.get(host.dialect.upstream).is_some_and(is_other) {
         return Err(AskFailure::OtherUpstream);
@@ -183,7 +183,7 @@
     let left_ms = told.and_then(|text| text.parse().ok()).map(Millis);
     if told.is_some() && left_ms.is_none() {
         let value = told.unwrap_or_default();
-        return host.note_unreadable(upstream, host.dialect.cold_ms, value.as_bytes());
+        return host.log_malformed_header(upstream, host.dialect.cold_ms, value.as_bytes());
     }
     host.upstreams.borrow_mut().note_cold(host.now_ms(), upstream_run, left_ms);
 }
--- a/crates/gateway/src/backpressure.rs
+++ b/crates/gateway/src/backpressure.rs
@@ -68,7 +68,7 @@
         b"1" => true,
         b"0" => false,
         other => {
-            host.note_unreadable(upstream, mark, other);
+            host.log_malformed_header(upstream, mark, other);
             false
         }
     })
@@ -98,7 +98,7 @@
     fields.all(mark).filter_map(move |value| {
         let number = read_decimal(value);
         if number.is_none() {
-            host.note_unreadable(upstream, mark, value);
+            host.log_malformed_header(upstream, mark, value);
         }
         number
     })
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -163,7 +163,7 @@
     }
 
     /// What is believed to be published.
-    pub fn picture(&self) -> Ref<'_, Picture> {
+    pub fn published_state(&self) -> Ref<'_, Picture> {
         Ref::map(self.gossip.borrow(), Gossip::picture)
     }
 
@@ -173,8 +173,8 @@
     }
 
     /// Age of the picture.
-    pub fn picture_age_ms(&self) -> Option<Millis> {
-        self.picture().age_ms(self.now_ms())
+    pub fn state_age_ms(&self) -> Option<Millis> {
+        self.published_state().age_ms(self.now_ms())
     }
 
     /// Whether the process is to stop.
@@ -189,11 +189,11 @@
 
     /// Whether only some upstreams are known: requests are served, but nothing is scheduled.
     pub fn is_partial(&self) -> bool {
-        self.picture().is_partial()
+        self.published_state().is_partial()
     }
 
     /// Hosts that share the fleet's budgets.
-    pub fn hosts(&self) -> u32 {
+    pub fn host_count(&self) -> u32 {
         self.members().count()
     }
 
@@ -204,11 +204,11 @@
     }
 
     /// Puts a changed picture to use, and tells operators.
-    pub fn picture_changed(&self, beliefs: &[Belief], from: &str) {
+    pub fn apply_state_changes(&self, beliefs: &[Belief], from: &str) {
         for belief in beliefs.iter().take(MOST_BELIEFS_TOLD) {
             self.log.write(&LogEvent::Belief { belief, from });
             if let Belief::ZoneEvacuated { zone, .. } = belief {
-                let upstreams = self.picture().upstreams_in(zone);
+                let upstreams = self.published_state().upstreams_in(zone);
                 self.log.write(&LogEvent::EvacuatedZone { zone, upstreams });
             }
         }
@@ -242,7 +242,7 @@
     }
 
     /// The process is awake: budgets save nothing up for the time in which it wasn't.
-    pub fn note_awake(&self) {
+    pub fn record_awake(&self) {
         let now_ms = self.now_ms();
         for asks in [&self.probe_budget, &self.zone_probe_budget, &self.placing.asks] {
             asks.borrow_mut().note_awake(now_ms);
@@ -251,9 +251,9 @@
 
     /// Closes idle connections that are of no use any more.
     pub fn prune_connections(&self) {
-        let picture = self.picture();
+        let picture = self.published_state();
         let table = self.table.borrow();
-        let hosts = self.hosts();
+        let hosts = self.host_count();
         let most = |service: &ServiceName| {
             let settings = table.as_ref().and_then(|table| table.service(service));
             settings.map_or(MOST_KEPT, |settings| kept_connections(settings.max_connections, hosts))
@@ -265,7 +265,7 @@
     }
 
     fn adopt(&self) {
-        let picture = self.picture();
+        let picture = self.published_state();
         let now_ms = self.now_ms();
         let evacuations = picture.evacuations();
         self.upstreams.borrow_mut().sync(now_ms, picture.upstreams(), evacuations);
@@ -309,6 +309,6 @@
 }
 
 /// A span of the clock type as the runtime's.
-pub fn duration(span_ms: Millis) -> Duration {
+pub fn to_duration(span_ms: Millis) -> Duration {
     Duration::from_millis(span_ms.0)
 }
--- a/crates/gateway/src/host/answers.rs
+++ b/crates/gateway/src/host/answers.rs
@@ -8,7 +8,7 @@
 
 impl Host {
     /// Tells operators what an upstream's answer says that nothing here reads.
-    pub fn note_unread(&self, upstream: &UpstreamId, fields: &HeadFields, on: AnswerTo) {
+    pub fn log_unread_headers(&self, upstream: &UpstreamId, fields: &HeadFields, on: AnswerTo) {
         let mut unread = self.unread_headers.borrow_mut();
         for mark in unread.note(self.now_ms(), upstream, fields, &self.dialect) {
             let (mark, value) = (&mark.name, &mark.value);
@@ -18,7 +18,7 @@
 
     /// Tells operators of a mark on an upstream's answer whose value makes no sense: it is left out, and
     /// what was known holds on.
-    pub fn note_unreadable(&self, upstream: &UpstreamId, name: &str, value: &[u8]) {
+    pub fn log_malformed_header(&self, upstream: &UpstreamId, name: &str, value: &[u8]) {
         let mark = UnreadMark::new(name, value);
         if self.malformed_headers.borrow_mut().is_due(self.now_ms(), upstream, &mark) {
             let (mark, value) = (&mark.name, &mark.value);
--- a/crates/gateway/src/host/rates.rs
+++ b/crates/gateway/src/host/rates.rs
@@ -8,27 +8,36 @@
     /// Whether this host may send a request by itself to an upstream, which may take a rate only, or
     /// have asked it to back off.
     pub fn may_send(&self, upstreams: &UpstreamSet, id: &UpstreamId) -> bool {
-        self.rate_limiter.borrow().may_send(self.now_ms(), upstreams, id, self.rate_fleet().hosts)
+        self.rate_limiter.borrow().may_send(
+            self.now_ms(),
+            upstreams,
+            id,
+            self.fleet_sharing_rates().hosts,
+        )
     }
 
     /// Upstreams of a service that get nothing from this host by itself for now.
-    pub fn held_back(&self, upstreams: &UpstreamSet, service: &ServiceName) -> Vec<UpstreamId> {
+    pub fn rate_limited_upstreams(
+        &self,
+        upstreams: &UpstreamSet,
+        service: &ServiceName,
+    ) -> Vec<UpstreamId> {
         self.rate_limiter.borrow().held_back(
             self.now_ms(),
             upstreams,
             service,
-            self.rate_fleet().hosts,
+            self.fleet_sharing_rates().hosts,
         )
     }
 
     /// This host sends a request by itself to an upstream, which may take a rate only.
-    pub fn note_sent_rated(&self, id: &UpstreamId) {
-        let (now_ms, hosts) = (self.now_ms(), self.rate_fleet().hosts);
+    pub fn record_rated_send(&self, id: &UpstreamId) {
+        let (now_ms, hosts) = (self.now_ms(), self.fleet_sharing_rates().hosts);
         self.rate_limiter.borrow_mut().note_sent(now_ms, &self.upstreams.borrow(), id, hosts);
     }
 
     /// Hosts that share what the fleet may send to an upstream.
-    pub fn rate_fleet(&self) -> FleetShape {
+    pub fn fleet_sharing_rates(&self) -> FleetShape {
         sharing_fleet(self.fleet_shape(), self.now_ms())
     }
 }
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -12,7 +12,7 @@
 pub use caller::Caller;
 
 use crate::event_log::LogEvent;
-use crate::host::{ACCEPT_PAUSE, Host, duration};
+use crate::host::{ACCEPT_PAUSE, Host, to_duration};
 use crate::http1::{BodyReader, Progress as BodyProgress, RequestError, RequestHead, read_request};
 use crate::serve::{Progress, Reply, Request, serve};
 use caller::linger;
@@ -239,10 +239,10 @@
     fn late_at(&self) -> Moment {
         let limits = self.limits();
         match self.head_since {
-            Some(since) if self.arriving.is_none() => since + duration(limits.head_timeout_ms),
-            _ if !self.pending.is_empty() => Moment::now() + duration(limits.idle_timeout_ms),
-            _ if self.is_idle() => self.active + duration(limits.idle_timeout_ms) + IDLE_SLACK,
-            _ => self.active + duration(limits.idle_timeout_ms),
+            Some(since) if self.arriving.is_none() => since + to_duration(limits.head_timeout_ms),
+            _ if !self.pending.is_empty() => Moment::now() + to_duration(limits.idle_timeout_ms),
+            _ if self.is_idle() => self.active + to_duration(limits.idle_timeout_ms) + IDLE_SLACK,
+            _ => self.active + to_duration(limits.idle_timeout_ms),
         }
     }
 
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -166,14 +166,14 @@
         log_lines_dropped: host.log.dropped(),
         open_requests: host.open_requests.get() as u64,
         quarantined: host.quarantine.borrow().held(host.now_ms()) as u64,
-        evacuated_zones: host.picture().evacuations().in_force().count() as u64,
+        evacuated_zones: host.published_state().evacuations().in_force().count() as u64,
         cold_upstreams: host.upstreams.borrow().count_cold(host.now_ms()) as u64,
         limited_upstreams: host.upstreams.borrow().backpressure().count_limited() as u64,
         backing_off: host.upstreams.borrow().backpressure().backing_off(host.now_ms()).count()
             as u64,
         leaving_upstreams: host.upstreams.borrow().backpressure().count_leaving() as u64,
         unread_marks: host.unread_headers.borrow().count_names() as u64,
-        picture_age: host.picture_age_ms().map(crate::host::duration),
+        picture_age: host.state_age_ms().map(crate::host::to_duration),
     });
     (200, "text/plain; version=0.0.4", host.metrics.render())
 }
@@ -189,7 +189,7 @@
 
 fn state(host: &Host) -> (u16, &'static str, String) {
     let now_ms = host.now_ms();
-    let picture = host.picture();
+    let picture = host.published_state();
     let upstreams = host.upstreams.borrow();
     let dump_upstream = |entry: &Entry<Arc<Upstream>>| {
         let known = upstreams.get(&entry.value.id)?;
@@ -214,7 +214,7 @@
         is_partial: host.is_partial(),
         is_stopping: host.is_stopping(),
         open_requests: host.open_requests.get(),
-        hosts: host.hosts(),
+        hosts: host.host_count(),
         evacuated_zones: evacuated_zones(&picture),
         routing_version: picture.routing().map(|entry| entry.value.version.to_string()),
         revision: picture.revision(),
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -11,7 +11,7 @@
 
 use crate::backpressure;
 use crate::event_log::LogEvent;
-use crate::host::{ACCEPT_PAUSE, Host, duration};
+use crate::host::{ACCEPT_PAUSE, Host, to_duration};
 use crate::placing;
 use crate::quarantine;
 use codec::{CodecError, Datagram};
@@ -162,12 +162,12 @@
     }
 
     fn carry_out(self: &Rc<Peers>, effect: Effect) {
-        let hosts = self.host.hosts();
+        let hosts = self.host.host_count();
         match effect {
             Effect::Send { message, to } => self.send(&message, &to),
             Effect::Fetch(fetch) => self.fetch(fetch),
             Effect::Believed { beliefs, from } => {
-                self.host.picture_changed(&beliefs, from.as_str());
+                self.host.apply_state_changes(&beliefs, from.as_str());
             }
             Effect::Fetched { from, revision, is_whole } => {
                 let peer = from.as_str();
@@ -207,7 +207,7 @@
     ) {
         let peers = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            clock::sleep(duration(after_ms)).await;
+            clock::sleep(to_duration(after_ms)).await;
             let now_ms = peers.host.now_ms();
             peers.act(|gossip| decide(gossip, now_ms));
         });
@@ -216,7 +216,7 @@
     fn fetch(self: &Rc<Peers>, fetch: Fetch) {
         let peers = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            clock::sleep(duration(fetch.after_ms)).await;
+            clock::sleep(to_duration(fetch.after_ms)).await;
             let answer = fetch::fetch(&fetch).await;
             let now_ms = peers.host.now_ms();
             peers.act(|gossip| gossip.take_told(now_ms, fetch, answer));
--- a/crates/gateway/src/placing/scheduling.rs
+++ b/crates/gateway/src/placing/scheduling.rs
@@ -36,7 +36,7 @@
     host: &Rc<Host>,
     decide: impl FnOnce(&mut SchedulerSet, Millis, &mut UpstreamSet, &mut Pcg64Mcg) -> Vec<Effect>,
 ) {
-    host.placing.schedulers.borrow_mut().set_fleet(host.rate_fleet());
+    host.placing.schedulers.borrow_mut().set_fleet(host.fleet_sharing_rates());
     let effects = decide(
         &mut host.placing.schedulers.borrow_mut(),
         host.now_ms(),
--- a/crates/gateway/src/reading.rs
+++ b/crates/gateway/src/reading.rs
@@ -51,7 +51,7 @@
                 self.wait_until(self.host.now_ms() + OFFER_STEP_MS).await;
                 continue;
             }
-            if self.host.picture().confirmed_ms().is_some() {
+            if self.host.published_state().confirmed_ms().is_some() {
                 self.begun = None;
             }
             let step = {
@@ -84,7 +84,7 @@
         let is_reading = self.reader.is_reading();
         if std::mem::replace(&mut self.was_reading, is_reading) != is_reading {
             let rank = self.host.members().reader_rank();
-            let picture_age_ms = self.host.picture_age_ms();
+            let picture_age_ms = self.host.state_age_ms();
             self.host.log.write(&LogEvent::Reading { is_reading, rank, picture_age_ms });
         }
     }
@@ -98,7 +98,7 @@
             self.host.log.write(&LogEvent::ReadingHeld {
                 failed_readers: self.host.members().failed_readers(now_ms),
                 for_ms: until_ms.since(now_ms),
-                picture_age_ms: self.host.picture_age_ms(),
+                picture_age_ms: self.host.state_age_ms(),
             });
         }
     }
@@ -159,7 +159,7 @@
     }
 
     async fn read_changes(&mut self, wait_ms: Millis) {
-        let after = self.host.picture().revision();
+        let after = self.host.published_state().revision();
         match self.source.read_changes(after, wait_ms).await {
             Ok(reading) => self.take_changes(after, reading),
             Err(error) => self.note_failure(&error),
@@ -195,7 +195,7 @@
     /// A peer read what this host could not: what is believed is confirmed again.
     fn note_told(&mut self) {
         let (confirmed_ms, revision) = {
-            let picture = self.host.picture();
+            let picture = self.host.published_state();
             (picture.confirmed_ms(), picture.revision())
         };
         let Some(lost_ms) = self.lost_ms.filter(|&lost_ms| confirmed_ms > Some(lost_ms)) else {
@@ -216,7 +216,7 @@
         self.peers.act(|gossip| gossip.tell_unread(now_ms));
         if self.lost_ms.is_none() {
             self.lost_ms = Some(now_ms);
-            let picture_age_ms = self.host.picture_age_ms();
+            let picture_age_ms = self.host.state_age_ms();
             let problem = error.to_string();
             self.host.log.write(&LogEvent::SourceLost { problem, picture_age_ms });
         }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -7,7 +7,7 @@
 use crate::backpressure;
 use crate::dialect::Dialect;
 use crate::event_log::{EventLog, LogEvent};
-use crate::host::{Host, duration};
+use crate::host::{Host, to_duration};
 use crate::ingress;
 use crate::metrics::Metrics;
 use crate::operator::{self, Audience};
@@ -234,7 +234,7 @@
     host.stopping.send_replace(true);
     peers.act(Gossip::leave);
     host.placing.schedulers.borrow_mut().leave();
-    clock::sleep(NOTICE.min(duration(limit_ms))).await;
+    clock::sleep(NOTICE.min(to_duration(limit_ms))).await;
     host.closing_idle.send_replace(true);
     let is_busy = || host.open_requests.get() > 0 || host.open_caller_connections.get() > 0;
     while is_busy() && host.now_ms().since(begun_ms) < limit_ms {
@@ -249,7 +249,7 @@
 async fn chores<R: Reload>(host: Rc<Host>, peers: Rc<Peers>, mut reload: R, mut hangup: Signal) {
     let mut round: u32 = 0;
     // A machine that is suspended right after the start is known to have been awake before.
-    host.note_awake();
+    host.record_awake();
     peers.act(|gossip| gossip.settle(host.now_ms()));
     loop {
         let begun_ms = host.now_ms();
@@ -259,7 +259,7 @@
         };
         let now_ms = host.now_ms();
         note_pause(&host, now_ms.since(begun_ms));
-        host.note_awake();
+        host.record_awake();
         round = round.wrapping_add(1);
         if is_told || round.is_multiple_of(LOOKS_AT_SETTINGS) {
             match reload.look(is_told) {
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -145,7 +145,7 @@
         refusal,
         after_ms: host.now_ms().since(request.arrived_ms),
         sendings: progress.sendings.get(),
-        picture_age_ms: host.picture_age_ms(),
+        picture_age_ms: host.state_age_ms(),
     });
 }
 
@@ -163,7 +163,7 @@
     let matched = matched.ok_or(Refusal::not_run(Cause::NoRoute))?;
     let service = next_service(host, &matched.route)?;
     let now_ms = host.now_ms();
-    host.retry_budget.borrow_mut().earn(now_ms, &service, host.hosts());
+    host.retry_budget.borrow_mut().earn(now_ms, &service, host.host_count());
     let arrived_ms = request.arrived_ms;
     let stated_ms = request.stated_ms(host.dialect.deadline_ms);
     let deadline_ms = stated_ms.map_or(Millis::MAX, |stated_ms| arrived_ms + stated_ms);
@@ -174,7 +174,7 @@
         service: &service,
         routing: matched.version,
         left_ms: end_ms.since(now_ms),
-        picture_age_ms: host.picture_age_ms(),
+        picture_age_ms: host.state_age_ms(),
     });
     Ok(Serving {
         host: Rc::clone(host),
--- a/crates/gateway/src/serve/finding.rs
+++ b/crates/gateway/src/serve/finding.rs
@@ -8,7 +8,7 @@
 use crate::ask::{self, Chosen};
 use crate::connection::Connection;
 use crate::event_log::{ChosenBy, LogEvent};
-use crate::host::duration;
+use crate::host::to_duration;
 use crate::placing::{self, Placement, PlacementGuard};
 use dispatch::attempts::{Cause, Refusal};
 use dispatch::scheduler::{Cell, Place, RefusalCause, Submission, Ticket};
@@ -232,7 +232,7 @@
                 Verdict::Take => return Ok(Some(self.chosen(chosen, sought_ms))),
                 Verdict::AskAgain(pause_ms) => {
                     chosen.put_back(&self.host);
-                    clock::sleep(duration(pause_ms)).await;
+                    clock::sleep(to_duration(pause_ms)).await;
                 }
                 Verdict::Refuse => return Err(Refusal::not_run(Cause::Overloaded)),
             }
--- a/crates/gateway/src/serve/sending.rs
+++ b/crates/gateway/src/serve/sending.rs
@@ -118,7 +118,7 @@
         self.progress.runs_on.set(self.route().repeat == Repeat::AtMostOnce);
         self.note_begin(&found, now_ms, counts.sent);
         if found.held.is_none() {
-            self.host.note_sent_rated(&found.upstream);
+            self.host.record_rated_send(&found.upstream);
         }
         let guard = InProgress::begin(&self.host, &found.upstream, found.held.take());
         let bytes = self.encode(&found.upstream, now_ms);
@@ -183,7 +183,7 @@
         };
         let fields = answer.as_ref().map(|answer| &answer.head.fields);
         if let Some(fields) = fields {
-            self.host.note_unread(&upstream, fields, AnswerTo::Request);
+            self.host.log_unread_headers(&upstream, fields, AnswerTo::Request);
         }
         let report = fields.and_then(|fields| ask::read_load(&self.host, fields));
         let backpressure = match (&answer, end) {
--- a/crates/gateway/src/serve/settling.rs
+++ b/crates/gateway/src/serve/settling.rs
@@ -4,7 +4,7 @@
 use super::{Reply, Serving};
 use crate::connection::Answer;
 use crate::event_log::LogEvent;
-use crate::host::duration;
+use crate::host::to_duration;
 use dispatch::SendFailure;
 use dispatch::attempts::{self, AttemptState, Cause, End, Next, Refusal};
 use domain::{Millis, UpstreamId};
@@ -80,7 +80,7 @@
         counts: &SendingCounts,
     ) -> Reply {
         let after_ms = self.host.now_ms().since(self.request.arrived_ms);
-        self.host.metrics.answered(&self.route().name, answer.head.status, duration(after_ms));
+        self.host.metrics.answered(&self.route().name, answer.head.status, to_duration(after_ms));
         self.host.log.write(&LogEvent::Delivered {
             id: &self.id,
             upstream,
--- a/crates/gateway/tests/crashing_requests.rs
+++ b/crates/gateway/tests/crashing_requests.rs
@@ -60,7 +60,7 @@
     }
 
     async fn until_all_know(&self, upstreams: usize) {
-        let knows = |host: &Gateway| host.host().picture().upstreams().count() == upstreams;
+        let knows = |host: &Gateway| host.host().published_state().upstreams().count() == upstreams;
         until("all know the upstreams", || self.hosts.iter().all(knows)).await;
     }
 
--- a/crates/gateway/tests/evacuation.rs
+++ b/crates/gateway/tests/evacuation.rs
@@ -35,7 +35,7 @@
             (StandInUpstream::start("i-1").await, StandInUpstream::start("i-2").await);
         let (gateway, published) = ready(&[&near]).await;
         published.write("servers", in_zone(&far, "temeke"));
-        until("both are known", || gateway.host().picture().upstreams().count() == 2).await;
+        until("both are known", || gateway.host().published_state().upstreams().count() == 2).await;
         let mut caller = Caller::connect(callers(&gateway)).await;
         for number in 0..5 {
             assert_eq!(
@@ -47,7 +47,7 @@
         let begun_ms = gateway.host().now_ms();
         evacuate(&published);
         let is_in_force =
-            || gateway.host().picture().evacuations().contains(&ZONE.parse().unwrap());
+            || gateway.host().published_state().evacuations().contains(&ZONE.parse().unwrap());
         until("it is in force", is_in_force).await;
         assert!(gateway.host().now_ms().since(begun_ms) <= IN_FORCE_MS);
         for number in 0..5 {
@@ -91,7 +91,8 @@
         let (gateway, published) = ready(&[&upstream]).await;
         evacuate(&published);
         let zone = ZONE.parse().unwrap();
-        until("it is in force", || gateway.host().picture().evacuations().contains(&zone)).await;
+        until("it is in force", || gateway.host().published_state().evacuations().contains(&zone))
+            .await;
         let begun_ms = gateway.host().now_ms();
         let mut caller = Caller::connect(callers(&gateway)).await;
         let got = caller.ask(&get("/any/x", "id-1")).await;
@@ -101,7 +102,10 @@
         assert!(gateway.host().now_ms().since(begun_ms) < Millis(100));
         assert!(upstream.seen().is_empty());
         published.end_evacuation(&zone);
-        until("it is taken back", || !gateway.host().picture().evacuations().contains(&zone)).await;
+        until("it is taken back", || {
+            !gateway.host().published_state().evacuations().contains(&zone)
+        })
+        .await;
         assert_eq!(caller.ask(&get("/any/x", "id-2")).await.status, 200);
     });
 }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -198,7 +198,7 @@
         };
         tokio::join!(stopping, asking);
         assert_eq!(leaving.host().open_caller_connections.get(), 0);
-        until("the other knows", || staying.host().hosts() == 1).await;
+        until("the other knows", || staying.host().host_count() == 1).await;
     });
 }
 
@@ -210,7 +210,7 @@
         let digests: Vec<u64> = hosts.iter().map(|h| h.host().members().digest()).collect();
         assert!(digests.windows(2).all(|pair| pair[0] == pair[1]), "{digests:?}");
         assert_eq!(hosts[0].host().fleet_shape().hosts, 4);
-        assert!(hosts[0].host().picture_age_ms().unwrap() < Millis(5_000));
+        assert!(hosts[0].host().state_age_ms().unwrap() < Millis(5_000));
     });
 }
 
--- a/crates/gateway/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -30,7 +30,7 @@
     other.tells_load("5,0,6,100");
     let (gateway, published) = before(&former).await;
     published.write("servers", run_item("i-2", other.address(), 100));
-    until("both are known", || gateway.host().picture().upstreams().count() == 2).await;
+    until("both are known", || gateway.host().published_state().upstreams().count() == 2).await;
     former.plays([Act::Mute]);
     let mut caller = Caller::connect(callers(&gateway)).await;
     let restarting = async {
--- a/crates/gateway/tests/said_leaving.rs
+++ b/crates/gateway/tests/said_leaving.rs
@@ -52,7 +52,7 @@
         let later = leaving.arrived(told + GRACE..Instant::now());
         assert_eq!(later, 0, "{later} requests after it said that it leaves");
         until("its entry is still there", || {
-            hosts.iter().all(|host| host.host().picture().upstreams().count() == 2)
+            hosts.iter().all(|host| host.host().published_state().upstreams().count() == 2)
         })
         .await;
     });
--- a/crates/gateway/tests/scheduling.rs
+++ b/crates/gateway/tests/scheduling.rs
@@ -115,7 +115,7 @@
         let (gateway, _) = ready(&[&upstream]).await;
         let silent = silent_scheduler(&gateway);
         introduce(&gateway, silent.clone());
-        until("it is heard of", || gateway.host().hosts() == 2).await;
+        until("it is heard of", || gateway.host().host_count() == 2).await;
         let mut caller = Caller::connect(callers(&gateway)).await;
         for round in 0..3 {
             let got = caller.ask(&post("/once/x", &format!("id-{round}"), "{}")).await;
@@ -172,7 +172,7 @@
         assert_eq!(chosen_by(other), [name(scheduler)]);
         let stopping = scheduler.stop();
         let asking = async {
-            until("its farewell is heard", || other.host().hosts() == 1).await;
+            until("its farewell is heard", || other.host().host_count() == 1).await;
             let got = caller.ask(&post("/once/x", "id-1", "{}")).await;
             assert_eq!((got.status, chosen_by(other)), (200, vec![name(other)]));
         };
--- a/crates/gateway/tests/serving.rs
+++ b/crates/gateway/tests/serving.rs
@@ -81,7 +81,8 @@
         assert_eq!(caller.ask(&get("/any/x", "id-0")).await.status, 200);
         if !other.is_empty() {
             published.write("servers", upstream_item(second.id(), second.address()));
-            until("both are known", || gateway.host().picture().upstreams().count() == 2).await;
+            until("both are known", || gateway.host().published_state().upstreams().count() == 2)
+                .await;
         }
         let got = caller.ask(&get("/any/x", "id-1")).await;
         assert_eq!((got.status, got.is_sealed), (500, true), "{got:?}");
--- a/crates/gateway/tests/suspended.rs
+++ b/crates/gateway/tests/suspended.rs
@@ -92,8 +92,8 @@
         assert!(report_age_ms().0 < 6_000);
         suspend(SECONDS);
         assert!(report_age_ms().0 >= 6_000);
-        assert!(host.picture_age_ms().unwrap().0 >= 6_000);
-        until("it was read again", || host.picture_age_ms().unwrap().0 < 3_000).await;
+        assert!(host.state_age_ms().unwrap().0 >= 6_000);
+        until("it was read again", || host.state_age_ms().unwrap().0 < 3_000).await;
     });
 }
 
@@ -123,7 +123,7 @@
         // Some rounds of what is done twice a second.
         let begun = Instant::now();
         while begun.elapsed() < Duration::from_millis(1_200) {
-            assert_eq!(hosts[0].host().hosts(), 3);
+            assert_eq!(hosts[0].host().host_count(), 3);
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     });
