--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -12,7 +12,7 @@
 use crate::placing::Placing;
 use crate::pool::{Kept, Pool};
 use crate::settings::Settings;
-use crate::unread::UnreadMarks;
+use crate::unread_headers::UnreadHeaderLog;
 use clock::Clock;
 use dispatch::budget::{AskBudget, NEIGHBOURS_ASKS, RepeatBudget, SCHEDULERS_ASKS};
 use dispatch::quarantine::Quarantine;
@@ -74,9 +74,9 @@
     /// Woken when something else is held against a request, or a trial ended.
     pub quarantine_changed: Notify,
     /// What upstreams say that nothing reads.
-    pub unread_headers: RefCell<UnreadMarks>,
+    pub unread_headers: RefCell<UnreadHeaderLog>,
     /// Marks that are read, with values that make no sense.
-    pub malformed_headers: RefCell<UnreadMarks>,
+    pub malformed_headers: RefCell<UnreadHeaderLog>,
     /// Randomness.
     pub rng: RefCell<Pcg64Mcg>,
     /// Structured logs.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -13,7 +13,7 @@
 //! - [`reading`], [`peers`], [`fleet_message`]: what is published, from the source or from peers, and
 //!   what else hosts tell each other
 //! - [`backpressure`]: what upstreams say of the load that they bear, read and told
-//! - [`unread`]: what upstreams say that nothing reads
+//! - [`unread_headers`]: what upstreams say that nothing reads
 //! - [`event_log`], [`metrics`], [`operator`]: what it tells operators
 //! - [`run`]: start, reload, stop
 //!
@@ -39,4 +39,4 @@
 pub mod serve;
 pub mod settings;
 pub mod source;
-pub mod unread;
+pub mod unread_headers;
--- a/crates/gateway/src/unread.rs
+++ b/crates/gateway/src/unread_headers.rs
@@ -38,7 +38,7 @@
 
 /// A mark that nothing reads.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct UnreadMark {
+pub struct UnreadHeader {
     /// Its name.
     pub name: String,
     /// Its value, as far as it is text.
@@ -47,30 +47,30 @@
 
 /// The marks that were told of late.
 #[derive(Debug, Default)]
-pub struct UnreadMarks {
+pub struct UnreadHeaderLog {
     told: FastMap<UpstreamId, Vec<Told>>,
     remembered: usize,
 }
 
 #[derive(Debug)]
 struct Told {
-    mark: UnreadMark,
+    mark: UnreadHeader,
     at_ms: Millis,
 }
 
-impl UnreadMarks {
+impl UnreadHeaderLog {
     /// Marks of an upstream's answer that are to be told now.
-    pub fn note(
+    pub fn headers_to_log(
         &mut self,
         now_ms: Millis,
         upstream: &UpstreamId,
         fields: &HeadFields,
         dialect: &Dialect,
-    ) -> Vec<UnreadMark> {
+    ) -> Vec<UnreadHeader> {
         let unread = fields.iter().filter(|(name, _)| !is_read(name, dialect));
-        let marks: Vec<UnreadMark> =
-            unread.map(|(name, value)| UnreadMark::new(name, value)).collect();
-        marks.into_iter().filter(|mark| self.is_due(now_ms, upstream, mark)).collect()
+        let marks: Vec<UnreadHeader> =
+            unread.map(|(name, value)| UnreadHeader::new(name, value)).collect();
+        marks.into_iter().filter(|mark| self.should_log(now_ms, upstream, mark)).collect()
     }
 
     /// How many names of marks are known that nothing reads.
@@ -86,7 +86,12 @@
     }
 
     /// Whether a mark of an upstream's answer is to be told now.
-    pub fn is_due(&mut self, now_ms: Millis, upstream: &UpstreamId, mark: &UnreadMark) -> bool {
+    pub fn should_log(
+        &mut self,
+        now_ms: Millis,
+        upstream: &UpstreamId,
+        mark: &UnreadHeader,
+    ) -> bool {
         let told = self.told.entry(upstream.clone()).or_default();
         match told.iter_mut().find(|told| told.mark.name == mark.name) {
             Some(told) => {
@@ -112,10 +117,10 @@
     OF_THE_MESSAGE.iter().any(|known| is_it(known)) || dialect.of_answers().any(is_it)
 }
 
-impl UnreadMark {
+impl UnreadHeader {
     /// A mark as it stands on an answer.
-    pub fn new(name: &str, value: &[u8]) -> UnreadMark {
+    pub fn new(name: &str, value: &[u8]) -> UnreadHeader {
         let value = String::from_utf8_lossy(&value[..value.len().min(MOST_TOLD_BYTES)]);
-        UnreadMark { name: name.to_ascii_lowercase(), value: value.into_owned() }
+        UnreadHeader { name: name.to_ascii_lowercase(), value: value.into_owned() }
     }
 }
--- a/crates/gateway/tests/unread.rs
+++ b/crates/gateway/tests/unread_headers.rs
@@ -4,7 +4,7 @@
 use domain::{Millis, UpstreamId};
 use gateway::dialect::Dialect;
 use gateway::http1::{HeadFields, read_answer};
-use gateway::unread::{UnreadMark, UnreadMarks};
+use gateway::unread_headers::{UnreadHeader, UnreadHeaderLog};
 use rstest::rstest;
 
 const NOW: Millis = Millis(1_000);
@@ -14,9 +14,9 @@
     read_answer(&mut bytes, true).unwrap().unwrap().fields
 }
 
-fn note(marks: &mut UnreadMarks, now_ms: Millis, id: &str, lines: &str) -> Vec<UnreadMark> {
+fn note(marks: &mut UnreadHeaderLog, now_ms: Millis, id: &str, lines: &str) -> Vec<UnreadHeader> {
     let id: UpstreamId = id.parse().unwrap();
-    marks.note(now_ms, &id, &fields(lines), &Dialect::default())
+    marks.headers_to_log(now_ms, &id, &fields(lines), &Dialect::default())
 }
 
 #[rstest]
@@ -25,7 +25,7 @@
 #[case::unknown("X-Wants: less\r\n", &[("x-wants", "less")])]
 #[case::two("X-Wants: less\r\nx-leaves: 1\r\n", &[("x-wants", "less"), ("x-leaves", "1")])]
 fn what_nothing_reads_is_told(#[case] lines: &str, #[case] wanted: &[(&str, &str)]) {
-    let told = note(&mut UnreadMarks::default(), NOW, "i-1", lines);
+    let told = note(&mut UnreadHeaderLog::default(), NOW, "i-1", lines);
     let told: Vec<(&str, &str)> =
         told.iter().map(|mark| (mark.name.as_str(), mark.value.as_str())).collect();
     assert_eq!(told, wanted);
@@ -33,7 +33,7 @@
 
 #[test]
 fn the_same_is_told_again_after_a_while_and_a_change_sooner() {
-    let mut marks = UnreadMarks::default();
+    let mut marks = UnreadHeaderLog::default();
     assert_eq!(note(&mut marks, NOW, "i-1", "x-wants: 2\r\n").len(), 1);
     assert_eq!(note(&mut marks, NOW + Millis(999), "i-1", "x-wants: 3\r\n").len(), 0);
     assert_eq!(note(&mut marks, NOW + Millis(1_000), "i-1", "x-wants: 3\r\n").len(), 1);
@@ -45,7 +45,7 @@
 
 #[test]
 fn an_upstream_that_invents_marks_fills_neither_log_nor_memory() {
-    let mut marks = UnreadMarks::default();
+    let mut marks = UnreadHeaderLog::default();
     let told = (0..5_000).map(|number| note(&mut marks, NOW, "i-1", &format!("x-{number}: 1\r\n")));
     assert_eq!(told.map(|told| told.len()).sum::<usize>(), 512);
     marks.retain(|_| false);
