--- a/crates/gateway/src/ask/question.rs
+++ b/crates/gateway/src/ask/question.rs
@@ -166,7 +166,7 @@
 
 /// Load that an answer tells, if any.
 pub fn read_load(host: &Host, fields: &HeadFields) -> Option<LoadReport> {
-    fields.get(host.dialect.load).and_then(host.dialect.read_load)
+    fields.get(host.dialect.load).and_then(host.dialect.parse_load)
 }
 
 /// Notes what a run of an upstream told of its load.
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -36,12 +36,12 @@
     /// Path of the readiness check.
     pub ready_path: &'static str,
     /// Reads the value of [`Dialect::load`].
-    pub read_load: fn(&str) -> Option<LoadReport>,
+    pub parse_load: fn(&str) -> Option<LoadReport>,
 }
 
 impl Dialect {
     /// Marks on upstreams' answers that are read.
-    pub fn of_answers(&self) -> impl Iterator<Item = &'static str> {
+    pub fn response_headers(&self) -> impl Iterator<Item = &'static str> {
         let of_origin = [self.request_id, self.seal, self.upstream, self.not_run];
         of_origin.into_iter().chain([self.load, self.cold_ms, self.rate_limit, self.leaving])
     }
@@ -64,7 +64,7 @@
             leaving: "x-upstream-leaving",
             cause: "x-refusal-cause",
             ready_path: "/ready",
-            read_load: read_figures,
+            parse_load: parse_load_report,
         }
     }
 }
@@ -73,7 +73,7 @@
 const USUAL_PERCENT: u32 = 100;
 
 /// Reads `running,waiting,slots` with, where it is told, the working time in percent of the usual.
-pub fn read_figures(text: &str) -> Option<LoadReport> {
+pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let mut figures = text.split(',').map(|figure| figure.trim().parse::<u32>());
     let running = figures.next()?.ok()?;
     let waiting = figures.next()?.ok()?;
--- a/crates/gateway/src/unread_headers.rs
+++ b/crates/gateway/src/unread_headers.rs
@@ -114,7 +114,7 @@
 
 fn is_read(name: &str, dialect: &Dialect) -> bool {
     let is_it = |known: &str| name.eq_ignore_ascii_case(known);
-    OF_THE_MESSAGE.iter().any(|known| is_it(known)) || dialect.of_answers().any(is_it)
+    OF_THE_MESSAGE.iter().any(|known| is_it(known)) || dialect.response_headers().any(is_it)
 }
 
 impl UnreadHeader {
