--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -10,7 +10,7 @@
 //! - [`placing`]: places at upstreams, from whoever schedules a service
 //! - [`connection`], [`pool`], [`ask`]: upstreams' connections, and asking before sending
 //! - [`quarantine`]: requests that crash upstreams, seen and told
-//! - [`reading`], [`peers`], [`fleet_message`]: what is published, from the source or from peers, and
+//! - [`source_reader`], [`peers`], [`fleet_message`]: what is published, from the source or from peers, and
 //!   what else hosts tell each other
 //! - [`backpressure`]: what upstreams say of the load that they bear, read and told
 //! - [`unread_headers`]: what upstreams say that nothing reads
@@ -34,9 +34,9 @@
 pub mod placing;
 pub mod pool;
 pub mod quarantine;
-pub mod reading;
 pub mod run;
 pub mod serve;
 pub mod settings;
 pub mod source;
+pub mod source_reader;
 pub mod unread_headers;
--- a/crates/gateway/src/source.rs
+++ b/crates/gateway/src/source.rs
@@ -16,7 +16,7 @@
 /// A published value that can't be read. The last good routing stays in force; what stood in
 /// the place of an upstream's entry names no upstream, and is told as its removal besides.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Unreadable {
+pub struct UnreadableValue {
     /// Its key.
     pub key: String,
     /// Its revision.
@@ -27,11 +27,11 @@
 
 /// What a reading brought.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Reading<T> {
+pub struct ReadResult<T> {
     /// What could be read.
     pub value: T,
     /// What could not.
-    pub unreadable: Vec<Unreadable>,
+    pub unreadable: Vec<UnreadableValue>,
 }
 
 /// Why a reading failed.
@@ -69,16 +69,16 @@
 
 /// Where a page ends, for the call that reads on.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PageEnd(pub String);
+pub struct PageToken(pub String);
 
 /// What one call of a whole reading brought.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Page {
     /// The values up to here. Its revision is that of the first page: pages are no snapshot, so
     /// what changed meanwhile is told again after that.
-    pub so_far: Snapshot,
+    pub values: Snapshot,
     /// Where it ends; none if that was all.
-    pub end: Option<PageEnd>,
+    pub next: Option<PageToken>,
 }
 
 /// Pages after which a whole reading is given up: 500 values each.
@@ -91,37 +91,37 @@
     fn read_sample(
         &mut self,
         draw: u64,
-    ) -> impl Future<Output = Result<Reading<Vec<Entry<Item>>>, SourceError>>;
+    ) -> impl Future<Output = Result<ReadResult<Vec<Entry<Item>>>, SourceError>>;
 
     /// The beginning of everything: as much as one call brings.
-    fn read_first(&mut self) -> impl Future<Output = Result<Reading<Page>, SourceError>>;
+    fn read_first_page(&mut self) -> impl Future<Output = Result<ReadResult<Page>, SourceError>>;
 
     /// One call more after what was read so far.
-    fn read_on(
+    fn read_next_page(
         &mut self,
-        so_far: Reading<Page>,
-    ) -> impl Future<Output = Result<Reading<Page>, SourceError>>;
+        so_far: ReadResult<Page>,
+    ) -> impl Future<Output = Result<ReadResult<Page>, SourceError>>;
 
     /// Everything.
-    fn read_whole(&mut self) -> impl Future<Output = Result<Reading<Snapshot>, SourceError>> {
+    fn read_all(&mut self) -> impl Future<Output = Result<ReadResult<Snapshot>, SourceError>> {
         async {
-            let first = self.read_first().await?;
-            self.read_rest(first).await
+            let first = self.read_first_page().await?;
+            self.read_remaining_pages(first).await
         }
     }
 
     /// Everything, where the beginning has been read.
-    fn read_rest(
+    fn read_remaining_pages(
         &mut self,
-        mut so_far: Reading<Page>,
-    ) -> impl Future<Output = Result<Reading<Snapshot>, SourceError>> {
+        mut so_far: ReadResult<Page>,
+    ) -> impl Future<Output = Result<ReadResult<Snapshot>, SourceError>> {
         async move {
             for _ in 0..MAX_PAGES {
-                if so_far.value.end.is_none() {
-                    let Reading { value, unreadable } = so_far;
-                    return Ok(Reading { value: value.so_far, unreadable });
+                if so_far.value.next.is_none() {
+                    let ReadResult { value, unreadable } = so_far;
+                    return Ok(ReadResult { value: value.values, unreadable });
                 }
-                so_far = self.read_on(so_far).await?;
+                so_far = self.read_next_page(so_far).await?;
             }
             Err(SourceError::Malformed(format!("more than {MAX_PAGES} pages")))
         }
@@ -132,7 +132,7 @@
         &mut self,
         after: Revision,
         wait_ms: Millis,
-    ) -> impl Future<Output = Result<Reading<Changes>, SourceError>>;
+    ) -> impl Future<Output = Result<ReadResult<Changes>, SourceError>>;
 
     /// Calls made so far, refused and failed ones too.
     fn calls(&self) -> u64;
--- a/crates/gateway/src/reading.rs
+++ b/crates/gateway/src/source_reader.rs
@@ -3,7 +3,7 @@
 use crate::event_log::LogEvent;
 use crate::host::Host;
 use crate::peers::Peers;
-use crate::source::{Changes, Page, Reading, Source, SourceError, Unreadable};
+use crate::source::{Changes, Page, ReadResult, Source, SourceError, UnreadableValue};
 use domain::Millis;
 use published::{ReadStep, Reader, Revision, Snapshot};
 use rand::RngExt;
@@ -17,22 +17,22 @@
 const MOST_UNREADABLE_TOLD: usize = 8;
 
 /// A host's reading.
-pub struct Readings<S> {
+pub struct SourceReader<S> {
     host: Rc<Host>,
     peers: Rc<Peers>,
     source: S,
     reader: Reader,
     /// The beginning of a whole reading, whose rest may come from a peer.
-    begun: Option<Reading<Page>>,
+    begun: Option<ReadResult<Page>>,
     was_reading: bool,
     was_held: bool,
     lost_ms: Option<Millis>,
 }
 
-impl<S: Source> Readings<S> {
+impl<S: Source> SourceReader<S> {
     /// Reads by the rules of `reader`.
-    pub fn new(host: Rc<Host>, peers: Rc<Peers>, source: S, reader: Reader) -> Readings<S> {
-        Readings {
+    pub fn new(host: Rc<Host>, peers: Rc<Peers>, source: S, reader: Reader) -> SourceReader<S> {
+        SourceReader {
             host,
             peers,
             source,
@@ -65,8 +65,8 @@
             match step {
                 ReadStep::Wait(until_ms) => self.wait_until(until_ms).await,
                 ReadStep::Sample => self.read_sample().await,
-                ReadStep::First => self.read_first().await,
-                ReadStep::Whole => self.read_whole().await,
+                ReadStep::First => self.read_first_page().await,
+                ReadStep::Whole => self.read_all().await,
                 ReadStep::Changes(wait_ms) => self.read_changes(wait_ms).await,
             }
             self.host.source_calls.set(self.source.calls());
@@ -107,7 +107,7 @@
     async fn read_sample(&mut self) {
         let draw = self.host.rng.borrow_mut().random();
         match self.source.read_sample(draw).await {
-            Ok(Reading { value, unreadable }) => {
+            Ok(ReadResult { value, unreadable }) => {
                 let now_ms = self.host.now_ms();
                 self.note_unreadable(&unreadable);
                 let is_enough = published::covers_services(&value);
@@ -120,15 +120,15 @@
 
     /// One call: all of a small source, and of a large one enough to serve until a peer tells
     /// the rest.
-    async fn read_first(&mut self) {
+    async fn read_first_page(&mut self) {
         self.host.gossip.borrow_mut().set_reading(true);
-        match self.source.read_first().await {
-            Ok(Reading { value: Page { so_far, end: None }, unreadable }) => {
-                self.take_whole(Reading { value: so_far, unreadable });
+        match self.source.read_first_page().await {
+            Ok(ReadResult { value: Page { values, next: None }, unreadable }) => {
+                self.take_whole(ReadResult { value: values, unreadable });
             }
             Ok(begun) => {
                 let now_ms = self.host.now_ms();
-                let items = begun.value.so_far.items.clone();
+                let items = begun.value.values.items.clone();
                 self.peers.act(|gossip| gossip.take_page(now_ms, items));
                 let reads_on = self.reader.began();
                 self.host.gossip.borrow_mut().set_reading(reads_on);
@@ -138,11 +138,11 @@
         }
     }
 
-    async fn read_whole(&mut self) {
+    async fn read_all(&mut self) {
         self.host.gossip.borrow_mut().set_reading(true);
         let reading = match self.begun.take() {
-            Some(begun) => self.source.read_rest(begun).await,
-            None => self.source.read_whole().await,
+            Some(begun) => self.source.read_remaining_pages(begun).await,
+            None => self.source.read_all().await,
         };
         match reading {
             Ok(reading) => self.take_whole(reading),
@@ -150,7 +150,7 @@
         }
     }
 
-    fn take_whole(&mut self, reading: Reading<Snapshot>) {
+    fn take_whole(&mut self, reading: ReadResult<Snapshot>) {
         let now_ms = self.host.now_ms();
         self.note_unreadable(&reading.unreadable);
         self.note_success(now_ms, reading.value.revision);
@@ -166,7 +166,7 @@
         }
     }
 
-    fn take_changes(&mut self, after: Revision, reading: Reading<Changes>) {
+    fn take_changes(&mut self, after: Revision, reading: ReadResult<Changes>) {
         let now_ms = self.host.now_ms();
         self.note_unreadable(&reading.unreadable);
         let Changes { revision, changes } = reading.value;
@@ -175,8 +175,10 @@
         self.peers.act(|gossip| gossip.take_changes(now_ms, after, revision, &changes));
     }
 
-    fn note_unreadable(&self, unreadable: &[Unreadable]) {
-        for Unreadable { key, revision, problem } in unreadable.iter().take(MOST_UNREADABLE_TOLD) {
+    fn note_unreadable(&self, unreadable: &[UnreadableValue]) {
+        for UnreadableValue { key, revision, problem } in
+            unreadable.iter().take(MOST_UNREADABLE_TOLD)
+        {
             self.host.log.write(&LogEvent::Unreadable { key, revision: *revision, problem });
         }
         let count = unreadable.len().saturating_sub(MOST_UNREADABLE_TOLD);
--- a/crates/gateway/tests/support/source.rs
+++ b/crates/gateway/tests/support/source.rs
@@ -1,7 +1,7 @@
 //! A source of published values that can fail.
 
 use domain::{FastMap, Millis, UpstreamId, ZoneName};
-use gateway::source::{Changes, Page, Reading, Source, SourceError};
+use gateway::source::{Changes, Page, ReadResult, Source, SourceError};
 use published::{
     Change, Entry, EvacuationEnd, Item, Removal, RemovalCause, Revision, Routing, Snapshot,
 };
@@ -113,12 +113,12 @@
 }
 
 impl Source for StandInSource {
-    async fn read_sample(&mut self, _: u64) -> Result<Reading<Vec<Entry<Item>>>, SourceError> {
-        let first = self.read_first().await?;
-        Ok(Reading { value: first.value.so_far.items, unreadable: Vec::new() })
+    async fn read_sample(&mut self, _: u64) -> Result<ReadResult<Vec<Entry<Item>>>, SourceError> {
+        let first = self.read_first_page().await?;
+        Ok(ReadResult { value: first.value.values.items, unreadable: Vec::new() })
     }
 
-    async fn read_first(&mut self) -> Result<Reading<Page>, SourceError> {
+    async fn read_first_page(&mut self) -> Result<ReadResult<Page>, SourceError> {
         self.calls += 1;
         tokio::time::sleep(Duration::from_millis(2)).await;
         self.published.check()?;
@@ -126,10 +126,13 @@
         let items = state.items.borrow().values().cloned().collect();
         let value =
             Snapshot { revision: Revision(state.revision.get()), items, overwritten: Vec::new() };
-        Ok(Reading { value: Page { so_far: value, end: None }, unreadable: Vec::new() })
+        Ok(ReadResult { value: Page { values: value, next: None }, unreadable: Vec::new() })
     }
 
-    async fn read_on(&mut self, so_far: Reading<Page>) -> Result<Reading<Page>, SourceError> {
+    async fn read_next_page(
+        &mut self,
+        so_far: ReadResult<Page>,
+    ) -> Result<ReadResult<Page>, SourceError> {
         Ok(so_far)
     }
 
@@ -137,7 +140,7 @@
         &mut self,
         after: Revision,
         wait_ms: Millis,
-    ) -> Result<Reading<Changes>, SourceError> {
+    ) -> Result<ReadResult<Changes>, SourceError> {
         self.calls += 1;
         tokio::time::sleep(Duration::from_millis(2)).await;
         self.published.check()?;
@@ -154,7 +157,7 @@
         }
         let changes = self.published.changes(after);
         let value = Changes { revision: Revision(state.revision.get()), changes };
-        Ok(Reading { value, unreadable: Vec::new() })
+        Ok(ReadResult { value, unreadable: Vec::new() })
     }
 
     fn calls(&self) -> u64 {
