--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -123,7 +123,7 @@
                 settings.host.clone(),
                 settings.availability_zone.clone(),
             )),
-            retry_budget: RefCell::new(RepeatBudget::new(settings.limits.repeats, now_ms)),
+            retry_budget: RefCell::new(RepeatBudget::new(settings.limits.retries, now_ms)),
             probe_budget: RefCell::new(AskBudget::new(own_asks(&settings))),
             zone_probe_budget: RefCell::new(AskBudget::new(neighbours_asks(&settings))),
             rate_limiter: RefCell::new(RateSender::new(settings.host.clone())),
@@ -231,7 +231,7 @@
     pub fn reload(&self, settings: Settings) {
         let mut held = self.settings.borrow_mut();
         let is_changed = *held != settings;
-        self.retry_budget.borrow_mut().set_allowed(settings.limits.repeats);
+        self.retry_budget.borrow_mut().set_allowed(settings.limits.retries);
         self.probe_budget.borrow_mut().set_allowed(own_asks(&settings));
         self.zone_probe_budget.borrow_mut().set_allowed(neighbours_asks(&settings));
         self.placing.asks.borrow_mut().set_allowed(schedulers_asks(&settings));
@@ -295,17 +295,17 @@
 
 /// Health checks for requests that nobody schedules.
 fn own_asks(settings: &Settings) -> PerSecond {
-    PerSecond(settings.limits.asks.0 * (1.0 - SCHEDULERS_ASKS - NEIGHBOURS_ASKS))
+    PerSecond(settings.limits.probes.0 * (1.0 - SCHEDULERS_ASKS - NEIGHBOURS_ASKS))
 }
 
 /// Health checks for requests that go to an idle upstream of the own availability zone.
 fn neighbours_asks(settings: &Settings) -> PerSecond {
-    PerSecond(settings.limits.asks.0 * NEIGHBOURS_ASKS)
+    PerSecond(settings.limits.probes.0 * NEIGHBOURS_ASKS)
 }
 
 /// Health checks for requests that this host schedules.
 fn schedulers_asks(settings: &Settings) -> PerSecond {
-    PerSecond(settings.limits.asks.0 * SCHEDULERS_ASKS)
+    PerSecond(settings.limits.probes.0 * SCHEDULERS_ASKS)
 }
 
 /// A span of the clock type as the runtime's.
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -78,7 +78,7 @@
 /// Reads the settings again.
 pub trait Reload: 'static {
     /// The settings, if they changed since the last look; an error names the remedy.
-    fn look(&mut self, is_told: bool) -> Result<Option<Settings>, String>;
+    fn load_if_changed(&mut self, is_requested: bool) -> Result<Option<Settings>, String>;
 }
 
 /// An entry host that serves.
@@ -253,7 +253,7 @@
     peers.act(|gossip| gossip.settle(host.now_ms()));
     loop {
         let begun_ms = host.now_ms();
-        let is_told = tokio::select! {
+        let is_requested = tokio::select! {
             told = hangup.recv() => told.is_some(),
             () = clock::sleep(CHORES) => false,
         };
@@ -261,8 +261,8 @@
         note_pause(&host, now_ms.since(begun_ms));
         host.record_awake();
         round = round.wrapping_add(1);
-        if is_told || round.is_multiple_of(LOOKS_AT_SETTINGS) {
-            match reload.look(is_told) {
+        if is_requested || round.is_multiple_of(LOOKS_AT_SETTINGS) {
+            match reload.load_if_changed(is_requested) {
                 Ok(Some(settings)) => host.reload(settings),
                 Ok(None) => {}
                 Err(problem) => {
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -34,7 +34,7 @@
 
 impl Settings {
     /// All addresses at which the host listens.
-    pub fn listened_at(&self) -> Vec<SocketAddr> {
+    pub fn listen_addresses(&self) -> Vec<SocketAddr> {
         let some = [self.operator, self.metrics].into_iter().flatten();
         [self.callers, self.readiness, self.peers].into_iter().chain(some).collect()
     }
@@ -44,9 +44,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FleetLimits {
     /// Repeats.
-    pub repeats: FleetRepeats,
+    pub retries: FleetRepeats,
     /// Health checks that one upstream takes.
-    pub asks: PerSecond,
+    pub probes: PerSecond,
     /// Time from the request to stop until the process is killed.
     pub stop_ms: Millis,
 }
--- a/crates/gateway/tests/serving.rs
+++ b/crates/gateway/tests/serving.rs
@@ -429,7 +429,7 @@
             published.write("servers", support::upstream_item(upstream.id(), upstream.address()));
         }
         let mut settings = support::settings(&[]);
-        settings.limits.asks = domain::PerSecond(0.001);
+        settings.limits.probes = domain::PerSecond(0.001);
         let gateway = support::start(settings, &published).await;
         until("it is ready", || gateway.host().is_ready()).await;
         let mut caller = Caller::connect(callers(&gateway)).await;
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -88,7 +88,7 @@
 pub struct NoReload;
 
 impl Reload for NoReload {
-    fn look(&mut self, _: bool) -> Result<Option<Settings>, String> {
+    fn load_if_changed(&mut self, _: bool) -> Result<Option<Settings>, String> {
         Ok(None)
     }
 }
@@ -111,8 +111,8 @@
         is_first_start: false,
         capacity: Capacity::default(),
         limits: FleetLimits {
-            repeats: FleetRepeats { ratio: Share(0.2), slack: 400.0, window_ms: Millis(10_000) },
-            asks: PerSecond(10_000.0),
+            retries: FleetRepeats { ratio: Share(0.2), slack: 400.0, window_ms: Millis(10_000) },
+            probes: PerSecond(10_000.0),
             stop_ms: Millis(6_000),
         },
     }
