--- a/crates/gateway/src/ask/question.rs
+++ b/crates/gateway/src/ask/question.rs
@@ -127,7 +127,7 @@
 pub(super) async fn open(host: &Rc<Host>, upstream: &UpstreamId) -> Result<Connection, AskFailure> {
     let entry = host.upstreams.borrow().get(upstream).map(|known| Arc::clone(&known.entry));
     let entry = entry.ok_or(AskFailure::Unreachable)?;
-    host.metrics.connected();
+    host.metrics.connection_opened();
     let connection = Connection::open(entry.address, CONNECT).await;
     connection.map(|open| open.belonging_to(entry.run)).map_err(|_| AskFailure::Unreachable)
 }
@@ -144,7 +144,7 @@
     (upstream, run): (&UpstreamId, RunStart),
     path: &str,
 ) -> Result<bool, AskFailure> {
-    host.metrics.asked();
+    host.metrics.probe_sent();
     let request = format!("GET {path} HTTP/1.1\r\nhost: upstream\r\n\r\n");
     let id = Some((host.dialect.request_id, ""));
     let expected = Expected { has_body: true, id, silence: None };
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -62,7 +62,7 @@
             self.task.abort();
             return;
         }
-        host.metrics.caller_gone();
+        host.metrics.caller_hung_up();
         host.log.write(&LogEvent::CallerGone {
             id: self.request.head.fields.get(host.dialect.request_id).unwrap_or_default(),
             after_ms: host.now_ms().since(self.request.arrived_ms),
@@ -374,7 +374,7 @@
     /// A faulty request is answered after those before it, and ends the connection.
     async fn write_fault(&mut self) {
         let Some(refusal) = self.faulty else { return };
-        self.host.metrics.refused("", refusal.cause);
+        self.host.metrics.request_refused("", refusal.cause);
         let bytes = render_refusal(&self.host, None, refusal, true);
         // The connection ends here either way.
         let _ = clock::timeout(WRITE_LIMIT, self.caller.write(&bytes)).await;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -126,7 +126,7 @@
     }
 
     /// An upstream's answer was passed on.
-    pub fn answered(&self, route: &str, status: u16, after: Duration) {
+    pub fn response_forwarded(&self, route: &str, status: u16, after: Duration) {
         let class = KeyValue::new("class", i64::from(status / 100));
         let route = KeyValue::new("route", route.to_owned());
         self.latency.record(after.as_secs_f64(), std::slice::from_ref(&route));
@@ -134,46 +134,46 @@
     }
 
     /// The host gave a final answer of its own.
-    pub fn refused(&self, route: &str, cause: Cause) {
+    pub fn request_refused(&self, route: &str, cause: Cause) {
         let cause = KeyValue::new("cause", cause.as_str());
         self.refusals.add(1, &[KeyValue::new("route", route.to_owned()), cause]);
     }
 
     /// A request left for an upstream.
-    pub fn sent(&self, is_repeat: bool) {
+    pub fn attempt_sent(&self, is_retry: bool) {
         self.sendings.add(1, &[]);
-        if is_repeat {
+        if is_retry {
             self.repeats.add(1, &[]);
         }
     }
 
     /// A health check was sent.
-    pub fn asked(&self) {
+    pub fn probe_sent(&self) {
         self.asks.add(1, &[]);
     }
 
     /// A connection to an upstream was opened.
-    pub fn connected(&self) {
+    pub fn connection_opened(&self) {
         self.connections.add(1, &[]);
     }
 
     /// Bytes went to peers.
-    pub fn told_peers(&self, bytes: usize) {
+    pub fn peer_bytes_sent(&self, bytes: usize) {
         self.peer_bytes.add(bytes as u64, &[]);
     }
 
     /// A caller hung up.
-    pub fn caller_gone(&self) {
+    pub fn caller_hung_up(&self) {
         self.callers_gone.add(1, &[]);
     }
 
     /// An upstream broke off a request, and crashed or is still there.
-    pub fn broke_off(&self, has_crashed: bool) {
+    pub fn upstream_broke_off(&self, has_crashed: bool) {
         self.broken_off.add(1, &[KeyValue::new("has_crashed", has_crashed)]);
     }
 
     /// Notes what is only looked at when asked.
-    pub fn note_state(&self, state: &StateFigures) {
+    pub fn record_state(&self, state: &StateFigures) {
         self.source_calls.record(state.source_calls, &[]);
         self.log_lines_dropped.record(state.log_lines_dropped, &[]);
         self.open_requests.record(state.open_requests, &[]);
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -161,7 +161,7 @@
 }
 
 fn metrics(host: &Host) -> (u16, &'static str, String) {
-    host.metrics.note_state(&StateFigures {
+    host.metrics.record_state(&StateFigures {
         source_calls: host.source_calls.get(),
         log_lines_dropped: host.log.dropped(),
         open_requests: host.open_requests.get() as u64,
--- a/crates/gateway/src/peers/fetch.rs
+++ b/crates/gateway/src/peers/fetch.rs
@@ -72,7 +72,7 @@
     let bytes = codec::encode(&told).map_err(std::io::Error::other)?;
     let Some(_turn) = Turn::take(host, bytes.len()) else { return Ok(()) };
     stream.write_all(&bytes).await?;
-    host.metrics.told_peers(bytes.len());
+    host.metrics.peer_bytes_sent(bytes.len());
     stream.shutdown().await
 }
 
--- a/crates/gateway/src/placing.rs
+++ b/crates/gateway/src/placing.rs
@@ -114,7 +114,7 @@
     pub fn send_to_peers(&self, metrics: &Metrics, datagram: &[u8], to: &[SocketAddr]) {
         for &address in to {
             if self.socket.try_send_to(datagram, address).is_ok() {
-                metrics.told_peers(datagram.len());
+                metrics.peer_bytes_sent(datagram.len());
             }
         }
     }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -43,7 +43,7 @@
     tokio::task::spawn_local(async move {
         let looking = has_crashed(&host, &broken.upstream);
         let has_crashed = clock::timeout(LOOK, looking).await.unwrap_or(false);
-        host.metrics.broke_off(has_crashed);
+        host.metrics.upstream_broke_off(has_crashed);
         if has_crashed {
             note_crash(&host, broken);
         }
@@ -58,7 +58,7 @@
         EntryState::Leaving => return false,
         EntryState::Ready => {}
     }
-    host.metrics.connected();
+    host.metrics.connection_opened();
     match Connection::open(entry.address, LOOK).await {
         Ok(connection) => {
             host.pool.borrow_mut().put(&entry.id, connection.belonging_to(entry.run));
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -85,7 +85,7 @@
     fn drop(&mut self) {
         self.host.open_requests.set(self.host.open_requests.get().saturating_sub(1));
         if !self.is_answered {
-            self.host.metrics.caller_gone();
+            self.host.metrics.caller_hung_up();
             self.host.log.write(&LogEvent::CallerGone {
                 id: &self.id,
                 after_ms: self.host.now_ms().since(self.arrived_ms),
@@ -138,7 +138,7 @@
     request: &Request,
     progress: &Progress,
 ) {
-    host.metrics.refused(route, refusal.cause);
+    host.metrics.request_refused(route, refusal.cause);
     host.log.write(&LogEvent::Refused {
         id,
         status: refusal.cause.status(),
--- a/crates/gateway/src/serve/sending.rs
+++ b/crates/gateway/src/serve/sending.rs
@@ -126,7 +126,7 @@
     }
 
     fn note_begin(&self, found: &Found, now_ms: Millis, sending: u32) {
-        self.host.metrics.sent(sending > 1);
+        self.host.metrics.attempt_sent(sending > 1);
         let (is_other_zone, warmth) = {
             let upstreams = self.host.upstreams.borrow();
             let known = upstreams.get(&found.upstream);
--- a/crates/gateway/src/serve/settling.rs
+++ b/crates/gateway/src/serve/settling.rs
@@ -80,7 +80,11 @@
         counts: &SendingCounts,
     ) -> Reply {
         let after_ms = self.host.now_ms().since(self.request.arrived_ms);
-        self.host.metrics.answered(&self.route().name, answer.head.status, to_duration(after_ms));
+        self.host.metrics.response_forwarded(
+            &self.route().name,
+            answer.head.status,
+            to_duration(after_ms),
+        );
         self.host.log.write(&LogEvent::Delivered {
             id: &self.id,
             upstream,
--- a/crates/gateway/tests/docs.rs
+++ b/crates/gateway/tests/docs.rs
@@ -15,14 +15,14 @@
 #[test]
 fn page_names_every_metric() {
     let metrics = Metrics::new().unwrap();
-    metrics.answered("r", 200, Duration::from_millis(3));
-    metrics.refused("r", Cause::NoRoute);
-    metrics.sent(true);
-    metrics.asked();
-    metrics.connected();
-    metrics.told_peers(3);
-    metrics.caller_gone();
-    metrics.broke_off(true);
+    metrics.response_forwarded("r", 200, Duration::from_millis(3));
+    metrics.request_refused("r", Cause::NoRoute);
+    metrics.attempt_sent(true);
+    metrics.probe_sent();
+    metrics.connection_opened();
+    metrics.peer_bytes_sent(3);
+    metrics.caller_hung_up();
+    metrics.upstream_broke_off(true);
     let picture_age = Some(Duration::ZERO);
     let figures = StateFigures {
         source_calls: 1,
@@ -37,7 +37,7 @@
         unread_marks: 0,
         picture_age,
     };
-    metrics.note_state(&figures);
+    metrics.record_state(&figures);
     let (page, text) = (page(), metrics.render());
     let types = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
     let names: Vec<&str> = types.filter_map(|line| line.split(' ').next()).collect();
