--- a/crates/gateway/src/ask/question.rs
+++ b/crates/gateway/src/ask/question.rs
@@ -2,7 +2,7 @@
 
 use crate::backpressure;
 use crate::connection::{Connection, Expected};
-use crate::event_log::{AnswerTo, LogEvent};
+use crate::event_log::{LogEvent, ResponseTo};
 use crate::host::Host;
 use crate::http1::HeadFields;
 use dispatch::backpressure::AnswerKind;
@@ -150,7 +150,7 @@
     let expected = Expected { has_body: true, id, silence: None };
     let answer = connection.exchange(request.as_bytes(), expected).await;
     let answer = answer.map_err(|_| AskFailure::Unreachable)?;
-    host.log_unread_headers(upstream, &answer.head.fields, AnswerTo::HealthCheck);
+    host.log_unread_headers(upstream, &answer.head.fields, ResponseTo::HealthCheck);
     let is_other = |id: &str| id != upstream.as_str();
     if answer.head.fields.get(host.dialect.upstream).is_some_and(is_other) {
         return Err(AskFailure::OtherUpstream);
--- a/crates/gateway/src/event_log.rs
+++ b/crates/gateway/src/event_log.rs
@@ -7,7 +7,7 @@
 
 mod event;
 
-pub use event::{AnswerTo, ChosenBy, LogEvent};
+pub use event::{ChosenBy, LogEvent, ResponseTo};
 
 use domain::HostId;
 use event::Weight;
@@ -120,7 +120,7 @@
     }
 
     /// Takes the lines that wait to be written.
-    pub fn take_waiting(&self) -> String {
+    pub fn take_buffered(&self) -> String {
         let waiting = std::mem::take(&mut self.state.borrow_mut().waiting);
         String::from_utf8_lossy(&waiting).into_owned()
     }
--- a/crates/gateway/src/event_log/event.rs
+++ b/crates/gateway/src/event_log/event.rs
@@ -127,7 +127,7 @@
     /// An upstream said in its answers that it is leaving, to this host or to a peer.
     SaysLeaving { upstream: &'a UpstreamId, from: &'a str },
     /// An upstream answered, with a mark that nothing here reads.
-    MarkUnread { upstream: &'a UpstreamId, on: AnswerTo, mark: &'a str, value: &'a str },
+    MarkUnread { upstream: &'a UpstreamId, on: ResponseTo, mark: &'a str, value: &'a str },
     /// Asking an upstream failed.
     AskFailed { upstream: &'a UpstreamId, failure: AskFailure },
     /// A request left for an upstream.
@@ -179,7 +179,7 @@
 /// What an upstream answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum AnswerTo {
+pub enum ResponseTo {
     /// A request.
     Request,
     /// A health check.
--- a/crates/gateway/src/host/answers.rs
+++ b/crates/gateway/src/host/answers.rs
@@ -1,14 +1,14 @@
 //! What operators are told of upstreams' answers.
 
 use super::Host;
-use crate::event_log::{AnswerTo, LogEvent};
+use crate::event_log::{LogEvent, ResponseTo};
 use crate::http1::HeadFields;
 use crate::unread_headers::UnreadHeader;
 use domain::UpstreamId;
 
 impl Host {
     /// Tells operators what an upstream's answer says that nothing here reads.
-    pub fn log_unread_headers(&self, upstream: &UpstreamId, fields: &HeadFields, on: AnswerTo) {
+    pub fn log_unread_headers(&self, upstream: &UpstreamId, fields: &HeadFields, on: ResponseTo) {
         let mut unread = self.unread_headers.borrow_mut();
         for mark in unread.headers_to_log(self.now_ms(), upstream, fields, &self.dialect) {
             let (mark, value) = (&mark.name, &mark.value);
--- a/crates/gateway/src/serve/sending.rs
+++ b/crates/gateway/src/serve/sending.rs
@@ -7,7 +7,7 @@
 use crate::ask;
 use crate::backpressure;
 use crate::connection::{Answer, Connection, ExchangeError, Expected};
-use crate::event_log::{AnswerTo, LogEvent};
+use crate::event_log::{LogEvent, ResponseTo};
 use crate::http1::write_request;
 use crate::quarantine::{self, BrokenOff};
 use dispatch::attempts::{Answered, Cause, End, Refusal};
@@ -183,7 +183,7 @@
         };
         let fields = answer.as_ref().map(|answer| &answer.head.fields);
         if let Some(fields) = fields {
-            self.host.log_unread_headers(&upstream, fields, AnswerTo::Request);
+            self.host.log_unread_headers(&upstream, fields, ResponseTo::Request);
         }
         let report = fields.and_then(|fields| ask::read_load(&self.host, fields));
         let backpressure = match (&answer, end) {
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -136,7 +136,7 @@
         published.write_routing(routing(2));
         published.fail(None);
         until("it is in force", || hosts.iter().all(|h| version(h) == Some(Version(2)))).await;
-        let log: String = hosts.iter().map(|h| h.host().log.take_waiting()).collect();
+        let log: String = hosts.iter().map(|h| h.host().log.take_buffered()).collect();
         assert!(log.contains("\"event\":\"source-lost\""), "{log}");
         assert!(log.contains("\"event\":\"source-regained\""), "{log}");
     });
@@ -224,7 +224,7 @@
         let gateway = start(settings, &published).await;
         let got = Caller::connect(callers(&gateway)).await.ask(&get("/any/x", "id-1")).await;
         assert_eq!(got.status, 200);
-        let log = gateway.host().log.take_waiting();
+        let log = gateway.host().log.take_buffered();
         assert!(log.contains("\"event\":\"no-metrics\""), "{log}");
     });
 }
--- a/crates/gateway/tests/logs.rs
+++ b/crates/gateway/tests/logs.rs
@@ -74,9 +74,9 @@
         log.write(&refused("id"));
     }
     assert!(log.dropped() > 0);
-    assert!(log.take_waiting().len() < 300 * 1024);
+    assert!(log.take_buffered().len() < 300 * 1024);
     log.write(&sent("after"));
-    let line: serde_json::Value = serde_json::from_str(&log.take_waiting()).unwrap();
+    let line: serde_json::Value = serde_json::from_str(&log.take_buffered()).unwrap();
     assert_eq!(line["dropped_telling"].as_u64().unwrap(), log.dropped());
 }
 
@@ -84,7 +84,7 @@
 fn a_line_names_host_time_event_and_cause() {
     let log = EventLog::new("front-1".parse().unwrap(), None);
     log.write(&refused("id-1"));
-    let line: serde_json::Value = serde_json::from_str(&log.take_waiting()).unwrap();
+    let line: serde_json::Value = serde_json::from_str(&log.take_buffered()).unwrap();
     assert_eq!(line["host"], "front-1");
     assert_eq!(line["event"], "refused");
     assert_eq!(line["id"], "id-1");
--- a/crates/gateway/tests/scheduling.rs
+++ b/crates/gateway/tests/scheduling.rs
@@ -23,7 +23,7 @@
 
 /// Who chose an upstream for each request that is in the log.
 fn chosen_by(gateway: &Gateway) -> Vec<String> {
-    let log = gateway.host().log.take_waiting();
+    let log = gateway.host().log.take_buffered();
     let chosen = log.lines().filter(|line| line.contains("\"event\":\"chosen\""));
     let by = |line: &str| {
         let line: serde_json::Value = serde_json::from_str(line).unwrap();
@@ -127,7 +127,8 @@
         assert_eq!(upstream.seen().len(), 3);
         // A new run of it is trusted again.
         introduce(&gateway, Member { incarnation: Incarnation(2), ..silent });
-        until("it is heard of", || gateway.host().log.take_waiting().contains("peers-heard")).await;
+        until("it is heard of", || gateway.host().log.take_buffered().contains("peers-heard"))
+            .await;
         assert_eq!(caller.ask(&post("/once/x", "id-3", "{}")).await.status, 200);
         assert_eq!(chosen_by(&gateway), ["asking"]);
     });
--- a/crates/gateway/tests/serving.rs
+++ b/crates/gateway/tests/serving.rs
@@ -237,7 +237,7 @@
         drop(caller);
         until("both were withdrawn", || upstream.abandoned() == 2).await;
         assert_eq!(gateway.host().open_requests.get(), 0);
-        let log = gateway.host().log.take_waiting();
+        let log = gateway.host().log.take_buffered();
         assert_eq!(log.matches("\"event\":\"caller-gone\"").count(), 2, "{log}");
     });
 }
@@ -254,7 +254,7 @@
         drop(caller);
         until("it ended", || gateway.host().open_requests.get() == 0).await;
         assert_eq!(upstream.abandoned(), 0);
-        let log = gateway.host().log.take_waiting();
+        let log = gateway.host().log.take_buffered();
         assert!(
             log.contains("\"event\":\"caller-gone\"") && log.contains("\"runs_on\":true"),
             "{log}"
