--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -68,7 +68,7 @@
     }
 
     /// Has the host's gossip decide, and carries out what it decided.
-    pub fn act(self: &Rc<Peers>, decide: impl FnOnce(&mut Gossip) -> Vec<Effect>) {
+    pub fn run_gossip(self: &Rc<Peers>, decide: impl FnOnce(&mut Gossip) -> Vec<Effect>) {
         let effects = decide(&mut self.host.gossip.borrow_mut());
         for effect in effects {
             self.carry_out(effect);
@@ -76,7 +76,7 @@
     }
 
     /// Joins through the seeds, then greets them and the peers; never ends.
-    pub async fn greet(self: Rc<Peers>) {
+    pub async fn send_hello(self: Rc<Peers>) {
         let mut next_join = FIRST_JOINS;
         loop {
             let seeds = self.seed_addresses();
@@ -88,10 +88,10 @@
                 false => GREETINGS,
             };
             if is_joining {
-                self.act(|gossip| gossip.join(&seeds));
+                self.run_gossip(|gossip| gossip.join(&seeds));
                 next_join = (next_join * 2).min(LAST_JOINS);
             } else {
-                self.act(|gossip| gossip.greet(&seeds));
+                self.run_gossip(|gossip| gossip.greet(&seeds));
             }
             let jitter = self.host.rng.borrow_mut().random_range(GREETING_JITTER);
             clock::sleep(pause.mul_f64(jitter)).await;
@@ -107,7 +107,7 @@
     }
 
     /// Takes datagrams; never ends.
-    pub async fn listen(self: Rc<Peers>) {
+    pub async fn receive(self: Rc<Peers>) {
         let mut buffer = vec![0; LARGEST_DATAGRAM_BYTES];
         loop {
             match self.socket.recv_from(&mut buffer).await {
@@ -119,7 +119,7 @@
     }
 
     /// Tells peers that ask for it what they lack; never ends.
-    pub async fn give(self: Rc<Peers>, listener: TcpListener) {
+    pub async fn serve_fetches(self: Rc<Peers>, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
@@ -139,16 +139,16 @@
         match codec::decode(datagram) {
             Ok(Datagram::Gossip(message)) => {
                 let now_ms = self.host.now_ms();
-                self.act(|gossip| gossip.take(now_ms, message, from));
+                self.run_gossip(|gossip| gossip.take(now_ms, message, from));
             }
             Ok(Datagram::Quarantine(message)) => {
                 if quarantine::take(&self.host, message, from) {
-                    self.act(|gossip| gossip.answer(from));
+                    self.run_gossip(|gossip| gossip.answer(from));
                 }
             }
             Ok(Datagram::Backpressure(message)) => {
                 if backpressure::take(&self.host, message, from) {
-                    self.act(|gossip| gossip.answer(from));
+                    self.run_gossip(|gossip| gossip.answer(from));
                 }
             }
             Ok(Datagram::Placement(message)) => {
@@ -180,8 +180,10 @@
                 backpressure::note_peers(&self.host);
                 self.host.log.write(&LogEvent::PeersHeard { count, first, hosts });
             }
-            Effect::Announce { after_ms } => self.act_later(after_ms, Gossip::announce),
-            Effect::AnswerWaiting { after_ms } => self.act_later(after_ms, Gossip::answer_more),
+            Effect::Announce { after_ms } => self.run_gossip_later(after_ms, Gossip::announce),
+            Effect::AnswerWaiting { after_ms } => {
+                self.run_gossip_later(after_ms, Gossip::answer_more)
+            }
             Effect::PeerGone(peer) => {
                 self.host.log.write(&LogEvent::PeerGone { peer: &peer, hosts });
             }
@@ -200,7 +202,7 @@
         self.host.placing.send_to_peers(&self.host.metrics, &datagram, to);
     }
 
-    fn act_later(
+    fn run_gossip_later(
         self: &Rc<Peers>,
         after_ms: Millis,
         decide: fn(&mut Gossip, Millis) -> Vec<Effect>,
@@ -209,7 +211,7 @@
         tokio::task::spawn_local(async move {
             clock::sleep(to_duration(after_ms)).await;
             let now_ms = peers.host.now_ms();
-            peers.act(|gossip| decide(gossip, now_ms));
+            peers.run_gossip(|gossip| decide(gossip, now_ms));
         });
     }
 
@@ -219,7 +221,7 @@
             clock::sleep(to_duration(fetch.after_ms)).await;
             let answer = fetch::fetch(&fetch).await;
             let now_ms = peers.host.now_ms();
-            peers.act(|gossip| gossip.take_told(now_ms, fetch, answer));
+            peers.run_gossip(|gossip| gossip.take_told(now_ms, fetch, answer));
         });
     }
 
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -192,9 +192,9 @@
             None => {}
         }
         spawn_local(clock::watch_for_suspension());
-        spawn_local(Rc::clone(&peers).listen());
-        spawn_local(Rc::clone(&peers).give(listeners.pictures));
-        spawn_local(Rc::clone(&peers).greet());
+        spawn_local(Rc::clone(&peers).receive());
+        spawn_local(Rc::clone(&peers).serve_fetches(listeners.pictures));
+        spawn_local(Rc::clone(&peers).send_hello());
         spawn_local(readings.run());
         spawn_local(placing::run(Rc::clone(&host)));
         spawn_local(chores(Rc::clone(&host), Rc::clone(&peers), reload, hangup));
@@ -232,7 +232,7 @@
     host.log.write(&LogEvent::Stopping { open_requests });
     host.log.write(&LogEvent::Ready { is_ready: false, reason: "stopping" });
     host.stopping.send_replace(true);
-    peers.act(Gossip::leave);
+    peers.run_gossip(Gossip::leave);
     host.placing.schedulers.borrow_mut().leave();
     clock::sleep(NOTICE.min(to_duration(limit_ms))).await;
     host.closing_idle.send_replace(true);
@@ -250,7 +250,7 @@
     let mut round: u32 = 0;
     // A machine that is suspended right after the start is known to have been awake before.
     host.record_awake();
-    peers.act(|gossip| gossip.settle(host.now_ms()));
+    peers.run_gossip(|gossip| gossip.settle(host.now_ms()));
     loop {
         let begun_ms = host.now_ms();
         let is_requested = tokio::select! {
@@ -270,7 +270,7 @@
                 }
             }
         }
-        peers.act(|gossip| gossip.settle(now_ms));
+        peers.run_gossip(|gossip| gossip.settle(now_ms));
         placing::note_order(&host);
         placing::turn(&host);
         quarantine::turn(&host);
--- a/crates/gateway/src/source_reader.rs
+++ b/crates/gateway/src/source_reader.rs
@@ -111,7 +111,7 @@
                 let now_ms = self.host.now_ms();
                 self.note_unreadable(&unreadable);
                 let is_enough = published::covers_services(&value);
-                self.peers.act(|gossip| gossip.take_page(now_ms, value));
+                self.peers.run_gossip(|gossip| gossip.take_page(now_ms, value));
                 self.reader.sampled(is_enough);
             }
             Err(error) => self.note_failure(&error),
@@ -129,7 +129,7 @@
             Ok(begun) => {
                 let now_ms = self.host.now_ms();
                 let items = begun.value.values.items.clone();
-                self.peers.act(|gossip| gossip.take_page(now_ms, items));
+                self.peers.run_gossip(|gossip| gossip.take_page(now_ms, items));
                 let reads_on = self.reader.began();
                 self.host.gossip.borrow_mut().set_reading(reads_on);
                 self.begun = Some(begun);
@@ -154,7 +154,7 @@
         let now_ms = self.host.now_ms();
         self.note_unreadable(&reading.unreadable);
         self.note_success(now_ms, reading.value.revision);
-        self.peers.act(|gossip| gossip.take_whole(now_ms, reading.value));
+        self.peers.run_gossip(|gossip| gossip.take_whole(now_ms, reading.value));
         self.reader.succeeded(now_ms, true);
     }
 
@@ -172,7 +172,7 @@
         let Changes { revision, changes } = reading.value;
         self.note_success(now_ms, revision);
         self.reader.succeeded(now_ms, !changes.is_empty());
-        self.peers.act(|gossip| gossip.take_changes(now_ms, after, revision, &changes));
+        self.peers.run_gossip(|gossip| gossip.take_changes(now_ms, after, revision, &changes));
     }
 
     fn note_unreadable(&self, unreadable: &[UnreadableValue]) {
@@ -215,7 +215,7 @@
             return;
         }
         self.reader.failed(now_ms);
-        self.peers.act(|gossip| gossip.tell_unread(now_ms));
+        self.peers.run_gossip(|gossip| gossip.tell_unread(now_ms));
         if self.lost_ms.is_none() {
             self.lost_ms = Some(now_ms);
             let picture_age_ms = self.host.state_age_ms();
