--- a/crates/domain/src/ids.rs
+++ b/crates/domain/src/ids.rs
@@ -1,4 +1,4 @@
-//! Ids: names that operators write, and numbers that processes count up.
+//! Ids: names that operators choose, and numbers that processes count up.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -9,14 +9,14 @@
 /// Longest name accepted, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// Why a text is no id.
+/// Why a text is not a valid id.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum IdError {
     /// The text is empty.
     Empty,
     /// The text has more than [`MAX_NAME_BYTES`] bytes.
     TooLong,
-    /// The text holds a character that is not printable ASCII, or is a space.
+    /// The text has a character that is not printable ASCII, or is a space.
     InvalidCharacter(char),
 }
 
@@ -91,19 +91,19 @@
 }
 
 name_id! {
-    /// An entry host, one run of the daemon on one machine.
+    /// A host: one run of the load balancer on one machine.
     HostId
-    /// A service that callers ask for.
+    /// A service that callers send requests to.
     ServiceName
-    /// One instance of a service.
+    /// An upstream: one instance of a service.
     UpstreamId
     /// An availability zone.
     ZoneName
-    /// A site: the fleet that shares one overlay.
+    /// A site: the hosts that share one configuration overlay.
     SiteName
-    /// Whoever sends requests, as told by the platform's balancer.
+    /// The sender of requests, as named by the platform's load balancer in front of the hosts.
     CallerId
-    /// The caller's own name for a request that must not run twice.
+    /// The caller's key for a request that must not run twice.
     IdempotencyKey
 }
 
@@ -132,7 +132,7 @@
     )*};
 }
 
-/// What a request asks, and for whom: a digest that is equal for all that ask the same.
+/// A digest of what a request asks for and on whose behalf: equal for equal requests.
 ///
 /// Written as 32 hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -140,7 +140,7 @@
 pub struct RequestFingerprint(pub u128);
 
 impl RequestFingerprint {
-    /// Half of its bits, which are as evenly spread as all.
+    /// The lower half of its bits, which are as evenly distributed as the whole.
     pub fn low_bits(self) -> u64 {
         self.0 as u64
     }
@@ -175,16 +175,16 @@
 }
 
 number_id! {
-    /// One request of a caller, at one entry host.
+    /// One request of a caller, at one host.
     CallId
-    /// One sending of a call to an upstream.
+    /// One attempt: one sending of a call to an upstream.
     AttemptId
     /// One probe of an upstream.
     ProbeId
-    /// One slot lent by its lender.
+    /// One lease of a slot.
     LeaseId
-    /// One run of a process under a host id: greater after each start.
+    /// One run of a process under a host id; increases with each start.
     Incarnation
-    /// Version of a published value: greater after each write.
+    /// Version of a published value; increases with each write.
     Version
 }
--- a/crates/domain/src/lib.rs
+++ b/crates/domain/src/lib.rs
@@ -1,7 +1,7 @@
-//! The words that every other crate shares: ids, sizes, rates and time.
+//! Types that the other crates share: ids, sizes, rates and time.
 //!
-//! Each is a newtype, so that a number of slots can't be passed for a number of
-//! connections, and each reads and prints itself. This crate knows nothing of IO.
+//! Each is a newtype that can be parsed and displayed, so that a number of slots can't be
+//! passed where a number of connections is expected. This crate does no IO.
 
 mod ids;
 mod quantities;
@@ -18,7 +18,7 @@
 pub use suspension::SuspensionDetector;
 pub use time::Millis;
 
-/// Hash map with a fast, unkeyed hasher, for keys that callers can't choose freely.
+/// Hash map with a fast, unkeyed hasher: only for keys that callers can't choose freely.
 pub type FastMap<K, V> = rustc_hash::FxHashMap<K, V>;
 
 /// Hash set with the same hasher as [`FastMap`].
--- a/crates/domain/src/quantities.rs
+++ b/crates/domain/src/quantities.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// A text that is no quantity.
+/// A text that can't be parsed as a quantity.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseQuantityError {
     text: String,
@@ -46,14 +46,14 @@
 }
 
 quantity! {
-    /// Requests that an upstream works on at once.
+    /// Requests that an upstream can work on at the same time.
     Slots(u32), "a number of slots";
-    /// Connections that an upstream accepts.
+    /// Number of connections that an upstream accepts.
     Connections(u32), "a number of connections";
     /// A size in bytes.
     ByteCount(u64), "a number of bytes";
-    /// A rate, in events a second.
+    /// A rate, in events per second.
     PerSecond(f64), "a rate per second";
-    /// A part of a whole, 0 to 1.
+    /// A fraction of a whole, 0 to 1.
     Share(f64), "a share between 0 and 1";
 }
--- a/crates/domain/src/suspension.rs
+++ b/crates/domain/src/suspension.rs
@@ -1,26 +1,27 @@
-//! Whether a process stood still: its machine was suspended, or it was stopped.
+//! Detects that a process did not run for a while: its machine was suspended, or it was stopped.
 
 use crate::Millis;
 
-/// A process that was not seen awake for so long stood still; it looks twice a second.
-const STOOD_STILL_MS: Millis = Millis(2_000);
+/// Shortest gap between two records that counts as a suspension. Records come twice a second.
+const MIN_SUSPENSION_MS: Millis = Millis(2_000);
 
-/// When a process was last seen awake; never while nobody says so.
+/// Measures the gaps between the times at which a process recorded that it runs.
 #[derive(Debug, Default)]
 pub struct SuspensionDetector {
-    awake_ms: Option<Millis>,
+    last_awake_ms: Option<Millis>,
 }
 
 impl SuspensionDetector {
-    /// Whether it was ever seen awake.
+    /// Whether [`SuspensionDetector::record_awake`] was ever called.
     pub fn has_record(&self) -> bool {
-        self.awake_ms.is_some()
+        self.last_awake_ms.is_some()
     }
 
-    /// It is awake now; for how long it stood still before, nothing if it didn't.
+    /// Records that the process runs now. Returns for how long it was suspended since the
+    /// last record, or zero if it wasn't.
     pub fn record_awake(&mut self, now_ms: Millis) -> Millis {
         let since_ms =
-            self.awake_ms.replace(now_ms).map_or(Millis::ZERO, |at_ms| now_ms.since(at_ms));
-        if since_ms >= STOOD_STILL_MS { since_ms } else { Millis::ZERO }
+            self.last_awake_ms.replace(now_ms).map_or(Millis::ZERO, |at_ms| now_ms.since(at_ms));
+        if since_ms >= MIN_SUSPENSION_MS { since_ms } else { Millis::ZERO }
     }
 }
--- a/crates/domain/src/time.rs
+++ b/crates/domain/src/time.rs
@@ -1,7 +1,6 @@
-//! The clock type.
+//! [`Millis`], both a point in time (since a start that the process chooses) and a duration.
 //!
-//! One type serves as a point in time (since a start that the process chooses) and as
-//! a span. It never wraps and never goes below zero, so a late event can't underflow.
+//! Its arithmetic saturates, so that events that arrive out of order can't underflow.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -9,7 +8,7 @@
 use std::ops::{Add, Sub};
 use std::str::FromStr;
 
-/// Milliseconds, as a point in time or a span.
+/// Milliseconds, as a point in time or a duration.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -17,22 +16,22 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// No time at all, or the clock's start.
+    /// An empty duration, or the clock's start.
     pub const ZERO: Millis = Millis(0);
-    /// A point that never comes.
+    /// A point in time that is never reached.
     pub const MAX: Millis = Millis(u64::MAX);
 
-    /// Whole seconds as milliseconds.
+    /// Converts whole seconds.
     pub const fn from_secs(secs: u64) -> Millis {
         Millis(secs.saturating_mul(1000))
     }
 
-    /// The span since `earlier`, zero if `earlier` lies ahead.
+    /// Time since `earlier`, zero if `earlier` lies in the future.
     pub const fn since(self, earlier: Millis) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
 
-    /// Whole seconds, rounded up, at least one: the unit of `Retry-After`.
+    /// Whole seconds for a `Retry-After` header: rounded up, at least one.
     pub const fn as_retry_after_secs(self) -> u64 {
         match self.0.div_ceil(1000) {
             0 => 1,
@@ -40,7 +39,7 @@
         }
     }
 
-    /// As a floating point number of milliseconds.
+    /// Milliseconds as a floating point number.
     pub const fn as_f64(self) -> f64 {
         self.0 as f64
     }
@@ -71,7 +70,7 @@
 impl FromStr for Millis {
     type Err = ParseIntError;
 
-    /// Reads `250` or `250ms`.
+    /// Parses `250` or `250ms`.
     fn from_str(text: &str) -> Result<Millis, ParseIntError> {
         text.strip_suffix("ms").unwrap_or(text).parse().map(Millis)
     }
