--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,9 +1,9 @@
-//! The one clock of a process, and waiting by it.
+//! The clock of a process, and timers that use it.
 //!
-//! A machine may be suspended for seconds. Its steady clock, which the runtime's timers and the
-//! standard library's instants go by, does not count that time; callers, upstreams and peers
-//! do. So every age and every deadline is taken from the clock that counts it
-//! (`CLOCK_BOOTTIME`), and waits begin anew when it has run ahead of the steady one.
+//! A machine may be suspended for seconds. Its monotonic clock, which the runtime's timers and
+//! `std::time::Instant` use, does not count that time; callers, upstreams and peers do. So all
+//! ages and deadlines use `CLOCK_BOOTTIME`, which counts it, and timers are set again after a
+//! suspension.
 
 use domain::Millis;
 use rustix::time::{ClockId, clock_gettime};
@@ -13,37 +13,38 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Time between two looks at whether the machine was suspended: waits are late by that at most.
-const LOOK: Duration = Duration::from_millis(100);
+/// Time between two checks for a suspension: the most by which it delays a timer.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The clocks are read one after the other, and a thread may be held up in between.
-const SUSPENDED: Duration = Duration::from_millis(50);
+/// Smallest difference that counts as a suspension: the two clocks are not read at the same
+/// instant, as a thread may be preempted in between.
+const MIN_SUSPENSION: Duration = Duration::from_millis(50);
 
-/// Sleeps are cut here, so that a point that never comes can't overflow a timer.
-const FAR_AHEAD: Duration = Duration::from_secs(60 * 60 * 24 * 365);
+/// Longest single sleep, so that a point that is never reached can't overflow a timer.
+const MAX_SLEEP: Duration = Duration::from_secs(60 * 60 * 24 * 365);
 
-/// Wakes all who wait once the machine goes on after it was suspended.
+/// Wakes all timers after the machine was suspended.
 static RESUMED: Notify = Notify::const_new();
 
-/// A moment of the machine's time, suspensions counted.
+/// A point in the machine's time, which counts suspensions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Moment {
     since_boot: Duration,
 }
 
 impl Moment {
-    /// This moment.
+    /// The current time.
     pub fn now() -> Moment {
         Moment { since_boot: read(ClockId::Boottime) + skipped() }
     }
 
-    /// Time since this moment.
+    /// Time since this point.
     pub fn elapsed(self) -> Duration {
         Moment::now().since_boot.saturating_sub(self.since_boot)
     }
 
-    /// Time left until this moment, zero if it has passed.
-    fn left(self) -> Duration {
+    /// Time left until this point, zero if it has passed.
+    fn remaining(self) -> Duration {
         self.since_boot.saturating_sub(Moment::now().since_boot)
     }
 }
@@ -63,40 +64,40 @@
 }
 
 impl Clock {
-    /// A clock that stands at zero now.
+    /// A clock that reads zero now.
     pub fn start() -> Clock {
         Clock { start: Moment::now() }
     }
 
-    /// The time.
+    /// The current time.
     pub fn now(&self) -> Millis {
         Millis(u64::try_from(self.start.elapsed().as_millis()).unwrap_or(u64::MAX))
     }
 
     /// Time left until a point, zero if it has passed.
     pub fn time_until(&self, point: Millis) -> Duration {
-        self.moment(point).left()
+        self.moment(point).remaining()
     }
 
-    /// Waits until a point.
+    /// Waits until a point in time.
     pub async fn sleep_until(self, point: Millis) {
         sleep_until(self.moment(point)).await;
     }
 
-    /// The same, to be polled beside other work and handed on.
+    /// [`Clock::sleep_until`] as a boxed future, which can be stored and polled in place.
     pub fn deadline(self, point: Millis) -> Deadline {
         Box::pin(self.sleep_until(point))
     }
 
     fn moment(&self, point: Millis) -> Moment {
-        self.start + Duration::from_millis(point.0).min(FAR_AHEAD)
+        self.start + Duration::from_millis(point.0).min(MAX_SLEEP)
     }
 }
 
-/// Ends once a point in time has come.
+/// A future that completes at a point in time.
 pub type Deadline = Pin<Box<dyn Future<Output = ()> + Send>>;
 
-/// The time for something is over.
+/// The error of a timeout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Elapsed;
 
@@ -114,7 +115,7 @@
     }
 }
 
-/// Waits for a time.
+/// Waits for `span`.
 pub async fn sleep(span: Duration) {
     sleep_until(Moment::now() + span).await;
 }
@@ -123,62 +124,63 @@
 pub async fn sleep_until(moment: Moment) {
     loop {
         let resumed = RESUMED.notified();
-        let left = moment.left();
-        if left.is_zero() {
+        let remaining = moment.remaining();
+        if remaining.is_zero() {
             return;
         }
         tokio::select! {
-            () = tokio::time::sleep(left.min(FAR_AHEAD)) => {}
+            () = tokio::time::sleep(remaining.min(MAX_SLEEP)) => {}
             () = resumed => {}
         }
     }
 }
 
-/// What comes of something within a time.
+/// Returns the output of `future`, if it completes within `span`.
 ///
 /// # Errors
 ///
-/// If the time is over first.
-pub async fn timeout<F: Future>(span: Duration, of: F) -> Result<F::Output, Elapsed> {
-    timeout_at(Moment::now() + span, of).await
+/// If `span` elapses first.
+pub async fn timeout<F: Future>(span: Duration, future: F) -> Result<F::Output, Elapsed> {
+    timeout_at(Moment::now() + span, future).await
 }
 
-/// What comes of something until a moment.
+/// Returns the output of `future`, if it completes before `moment`.
 ///
 /// # Errors
 ///
-/// If the moment comes first.
-pub async fn timeout_at<F: Future>(moment: Moment, of: F) -> Result<F::Output, Elapsed> {
+/// If `moment` is reached first.
+pub async fn timeout_at<F: Future>(moment: Moment, future: F) -> Result<F::Output, Elapsed> {
     tokio::select! {
         biased;
-        outcome = of => Ok(outcome),
+        outcome = future => Ok(outcome),
         () = sleep_until(moment) => Err(Elapsed),
     }
 }
 
-/// Notices when the machine was suspended, and wakes all who wait; never ends.
+/// Wakes all timers whenever the machine was suspended. Never returns.
 pub async fn watch_for_suspension() {
-    let mut ahead = ahead_of_steady();
+    let mut last_suspended = total_suspended();
     loop {
-        tokio::time::sleep(LOOK).await;
-        let now = ahead_of_steady();
-        if now.saturating_sub(ahead) > SUSPENDED {
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        let suspended = total_suspended();
+        if suspended.saturating_sub(last_suspended) > MIN_SUSPENSION {
             RESUMED.notify_waiters();
         }
-        ahead = now;
+        last_suspended = suspended;
     }
 }
 
-/// By how much this clock is ahead of the steady one. That is read first: what passes in between
-/// is little.
-fn ahead_of_steady() -> Duration {
-    let steady = read(ClockId::Monotonic);
-    Moment::now().since_boot.saturating_sub(steady)
+/// Time for which the machine was suspended since it booted: the boot-time clock less the
+/// monotonic one. The monotonic clock is read first, so that the time between the two reads
+/// adds to the difference.
+fn total_suspended() -> Duration {
+    let monotonic = read(ClockId::Monotonic);
+    Moment::now().since_boot.saturating_sub(monotonic)
 }
 
 fn read(clock: ClockId) -> Duration {
     let read = clock_gettime(clock);
-    // Neither is negative by these clocks.
+    // Neither value is negative on these clocks.
     let seconds = u64::try_from(read.tv_sec).unwrap_or_default();
     let nanoseconds = u32::try_from(read.tv_nsec).unwrap_or_default();
     Duration::new(seconds, nanoseconds)
@@ -192,7 +194,7 @@
 #[cfg(feature = "testing")]
 use testing::skipped;
 
-/// Suspensions for tests.
+/// Simulated suspensions for tests.
 #[cfg(feature = "testing")]
 pub mod testing {
     use std::cell::Cell;
@@ -202,8 +204,8 @@
         static SKIPPED: Cell<Duration> = const { Cell::new(Duration::ZERO) };
     }
 
-    /// This thread goes on as if the machine had been suspended for a time: its clock moves, and
-    /// no timer of the runtime does.
+    /// Simulates a suspension of the machine for this thread: its clock advances by `span`,
+    /// but the runtime's timers don't.
     pub fn suspend(span: Duration) {
         SKIPPED.set(SKIPPED.get() + span);
     }
--- a/crates/clock/tests/one_clock.rs
+++ b/crates/clock/tests/one_clock.rs
@@ -1,15 +1,14 @@
-//! Each program of an entry host takes its time from this crate, and from nowhere else.
+//! Each program that runs on a host takes the time from this crate only.
 //!
-//! A machine that is suspended for seconds goes on as if no time had passed by its steady clock:
-//! requests whose callers are gone were still in time, kept connections still fresh, and what
-//! was read before still new. That clock is behind `std`'s and `tokio`'s instants and behind
-//! every timer of the runtime.
+//! The monotonic clock, which `std`, `tokio` and the runtime's timers use, does not count a
+//! suspension of the machine: after one, expired requests, stale connections and outdated
+//! values would pass as fresh.
 #![allow(clippy::unwrap_used)]
 
 use std::path::{Path, PathBuf};
 
-/// Sources of what runs on an entry host.
-const ROOMS: [&str; 7] = [
+/// Sources of what runs on a host.
+const SOURCE_DIRS: [&str; 7] = [
     "crates/core/src",
     "crates/daemon/src",
     "crates/dispatch/src",
@@ -19,14 +18,14 @@
     "platform/src",
 ];
 
-/// What reads the steady clock, or waits by it.
-const STEADY: [&str; 3] = ["Instant", "tokio::time", "thread::sleep"];
+/// Names whose use reads the monotonic clock or sets a timer on it.
+const MONOTONIC_USES: [&str; 3] = ["Instant", "tokio::time", "thread::sleep"];
 
 #[test]
-fn no_steady_clock_is_read() {
+fn monotonic_clock_is_not_used() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    let files = ROOMS.iter().flat_map(|room| sources(&root.join(room)));
-    let found: Vec<String> = files.flat_map(|file| steady_lines(&file)).collect();
+    let files = SOURCE_DIRS.iter().flat_map(|dir| sources(&root.join(dir)));
+    let found: Vec<String> = files.flat_map(|file| monotonic_lines(&file)).collect();
     assert!(found.is_empty(), "{} places:\n{}", found.len(), found.join("\n"));
 }
 
@@ -39,9 +38,9 @@
     entries.flat_map(inside).collect()
 }
 
-fn steady_lines(file: &Path) -> Vec<String> {
+fn monotonic_lines(file: &Path) -> Vec<String> {
     let text = std::fs::read_to_string(file).unwrap();
-    let is_steady = |line: &&str| STEADY.iter().any(|word| line.contains(word));
+    let is_monotonic = |line: &&str| MONOTONIC_USES.iter().any(|word| line.contains(word));
     let lines = text.lines().filter(|line| !line.trim_start().starts_with("//"));
-    lines.filter(is_steady).map(|line| format!("{}: {}", file.display(), line.trim())).collect()
+    lines.filter(is_monotonic).map(|line| format!("{}: {}", file.display(), line.trim())).collect()
 }
--- a/crates/clock/tests/suspended.rs
+++ b/crates/clock/tests/suspended.rs
@@ -1,4 +1,4 @@
-//! A machine that is suspended: its timers stand still, its time goes on.
+//! On a suspended machine the runtime's timers stop, but the clock goes on.
 #![cfg(feature = "testing")]
 #![allow(clippy::unwrap_used)]
 
@@ -8,23 +8,23 @@
 
 const HOUR: Duration = Duration::from_secs(3_600);
 
-/// Longest wait for what has to come at once.
-const SOON: Duration = Duration::from_secs(5);
+/// Longest run of a test, all of whose timers should fire at once.
+const TEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn on_one_thread(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
-        let watching = clock::watch_for_suspension();
+        let watcher = clock::watch_for_suspension();
         tokio::select! {
             () = test => {}
-            () = watching => {}
-            () = tokio::time::sleep(SOON) => panic!("a timer did not count the suspension"),
+            () = watcher => {}
+            () = tokio::time::sleep(TEST_TIMEOUT) => panic!("a timer did not count the suspension"),
         }
     });
 }
 
 #[test]
-fn suspended_time_counts_in_ages() {
+fn ages_count_suspended_time() {
     let (clock, moment) = (Clock::start(), Moment::now());
     testing::suspend(HOUR);
     assert!(moment.elapsed() >= HOUR);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn who_waits_is_woken_after_a_suspension() {
+fn timers_wake_after_a_suspension() {
     on_one_thread(async {
         let suspending = async {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -53,11 +53,11 @@
 }
 
 #[test]
-fn without_a_suspension_it_goes_like_any_other() {
+fn timers_run_normally_without_a_suspension() {
     on_one_thread(async {
-        let begun = std::time::Instant::now();
+        let start = std::time::Instant::now();
         clock::sleep(Duration::from_millis(30)).await;
-        assert!(begun.elapsed() >= Duration::from_millis(30));
+        assert!(start.elapsed() >= Duration::from_millis(30));
         assert_eq!(clock::timeout(HOUR, std::future::ready(3)).await, Ok(3));
     });
 }
