--- a/crates/listener/src/lib.rs
+++ b/crates/listener/src/lib.rs
@@ -1,10 +1,10 @@
-//! Listening sockets, and one that a stop closes.
+//! Listening sockets, and a [`Listener`] that can be closed before its server stops.
 //!
 //! The HTTP server keeps its acceptor until its last connection has ended, so callers could
-//! still connect to a server that no longer accepts: they would wait and be cut at the end.
-//! [`Listener`] closes before the server is told to stop. First it takes no new connection
-//! in, then it hands out all that have connected already: a socket that closes resets what
-//! is left in its backlog.
+//! still connect to a server that no longer accepts: they would wait, and be reset at the end.
+//! [`Listener`] is closed before the server stops. It first drops new connection attempts, then
+//! hands out the connections that are already established: closing a socket resets what is in
+//! its backlog.
 
 use clock::sleep;
 use salvo::conn::tcp::TcpAcceptor;
@@ -17,25 +17,25 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::watch;
 
-/// Connections that wait to be accepted.
+/// Most connections that wait to be accepted.
 const BACKLOG: u32 = 1024;
-/// Pause after which the runtime has heard of every connection that was there before.
+/// Time after which the runtime has reported every connection that was established before.
 const HANDOUT_PAUSE: Duration = Duration::from_millis(20);
-/// A packet filter's instruction "return a constant", here: take nothing in.
+/// Opcode `BPF_RET | BPF_K` of a packet filter: with the constant zero it drops every packet.
 const FILTER_RETURN: u16 = 0x06;
 
-/// Listens.
+/// Opens a listening socket.
 ///
 /// # Errors
 ///
-/// If the address can't be had.
+/// If the address can't be bound.
 pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
         SocketAddr::V6(_) => TcpSocket::new_v6()?,
     };
     socket.set_reuseaddr(true)?;
-    // Accepted connections inherit it.
+    // Accepted connections inherit this option.
     socket.set_nodelay(true)?;
     socket.bind(address)?;
     socket.listen(BACKLOG)
@@ -50,7 +50,7 @@
 
 struct OpenListener {
     acceptor: TcpAcceptor,
-    /// The same socket, to reach it while the acceptor is busy.
+    /// The same socket, which is needed while the acceptor is borrowed.
     socket: Socket,
 }
 
@@ -68,28 +68,28 @@
 }
 
 impl Listener {
-    /// Takes a listening socket over.
+    /// Takes over a listening socket.
     ///
     /// # Errors
     ///
-    /// If the machine denies the socket's address.
+    /// If the socket can't be duplicated, or its address can't be read.
     pub fn new(listener: TcpListener) -> io::Result<(Listener, CloseHandle)> {
         let socket = SockRef::from(&listener).try_clone()?;
         let acceptor = TcpAcceptor::try_from(listener)?;
         let phase = watch::Sender::new(Phase::Open);
-        let closing = CloseHandle { phase: phase.clone() };
+        let close_handle = CloseHandle { phase: phase.clone() };
         let holdings = acceptor.holdings().to_vec();
         let open = Some(OpenListener { acceptor, socket });
-        Ok((Listener { open, holdings, phase }, closing))
+        Ok((Listener { open, holdings, phase }, close_handle))
     }
 }
 
 impl CloseHandle {
-    /// Closes the socket once everything that has connected to it is accepted.
+    /// Closes the socket once all connections established so far are accepted.
     pub async fn close(&self) {
         let mut phase = self.phase.subscribe();
         self.phase.send_replace(Phase::Closing);
-        // The sender lives as long as `self`, so that waiting can't fail.
+        // The sender lives as long as `self`, so the wait can't fail.
         let _ = phase.wait_for(|phase| *phase == Phase::Closed).await;
     }
 }
@@ -110,7 +110,7 @@
             tokio::select! {
                 biased;
                 accepted = acceptor.accept(fuse_policy) => return accepted,
-                () = handed_out(self.phase.subscribe(), socket) => {}
+                () = wait_for_handout(self.phase.subscribe(), socket) => {}
             }
         }
         self.open = None;
@@ -119,13 +119,14 @@
     }
 }
 
-/// Waits for the closing, takes nothing in from then on, and ends when what had connected
-/// before has been accepted: until then, accepting comes first and starts this anew.
-async fn handed_out(mut phase: watch::Receiver<Phase>, socket: &Socket) {
-    // The sender lives as long as the listener, so that waiting can't fail.
+/// Waits until the listener is to close, drops new connection attempts from then on, and
+/// returns once all established connections have been accepted: accepting one cancels this wait, and the next
+/// call to `accept` starts it again.
+async fn wait_for_handout(mut phase: watch::Receiver<Phase>, socket: &Socket) {
+    // The sender lives as long as the listener, so the wait can't fail.
     let _ = phase.wait_for(|phase| *phase != Phase::Open).await;
     if let Err(error) = socket.attach_filter(&[SockFilter::new(FILTER_RETURN, 0, 0, 0)]) {
-        log::warn!("listener: a connection that comes just now may be reset: {error}");
+        log::warn!("listener: can't filter out new connections, which may be reset: {error}");
     }
     sleep(HANDOUT_PAUSE).await;
 }
