--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -7,17 +7,17 @@
 //! load that they bear; [`attempts`] holds the rules of repeating; [`budget`] the host's part of what the
 //! whole fleet may spend.
 
-mod asking;
 pub mod attempts;
 pub mod backpressure;
 pub mod budget;
-mod choice;
 mod cold;
 mod connections;
+mod cost;
 mod curve;
 mod deadline;
 mod fleet_rate;
 mod load;
+mod probing;
 pub mod quarantine;
 pub mod scheduler;
 mod service;
@@ -27,17 +27,19 @@
 mod upstream;
 mod upstream_set;
 
-pub use asking::{ASKED_AT_ONCE, AT_ONCE, GOOD_ENOUGH, ROUNDS, UNWELL_COST};
-pub use choice::{Candidate, Weighing, weigh};
 pub use cold::Warmth;
-pub use connections::{MOST_KEPT, kept_connections};
+pub use connections::{MAX_IDLE_CONNECTIONS, idle_connections_per_host};
+pub use cost::{Candidate, CostInputs, estimate_cost};
 pub use curve::{Occupancy, SpeedCurve};
-pub use deadline::{DeadlineCheck, Offer, Verdict};
-pub use fleet_rate::{FleetRate, RateSender, sharing_fleet};
+pub use deadline::{DeadlineCheck, LatencyEstimate, Verdict};
+pub use fleet_rate::{FleetRate, LocalRateLimiter, assumed_fleet};
 pub use load::LoadReport;
-pub use service::Run;
+pub use probing::{
+    GOOD_ENOUGH_COST, IMMEDIATE_COST, PROBE_ROUNDS, PROBES_PER_ROUND, UNHEALTHY_COST,
+};
+pub use service::ServiceTimeSample;
 pub use service_load::ServiceLoad;
 pub use split::SplitTable;
-pub use subset::{ALL, FAR, FleetShape, NEAR, Subset};
-pub use upstream::{AskFailure, Known, SendFailure};
-pub use upstream_set::{Reach, UpstreamSet};
+pub use subset::{FULL_SUBSET_MAX, FleetSize, LOCAL_ZONE_UPSTREAMS, OTHER_ZONE_UPSTREAMS, Subset};
+pub use upstream::{AttemptFailure, ProbeFailure, UpstreamState};
+pub use upstream_set::{UpstreamSet, ZoneScope};
--- a/crates/gateway/src/ask/question.rs
+++ b/crates/gateway/src/ask/question.rs
@@ -5,8 +5,8 @@
 use crate::event_log::{LogEvent, ResponseTo};
 use crate::host::Host;
 use crate::http1::HeadFields;
-use dispatch::backpressure::AnswerKind;
-use dispatch::{AskFailure, LoadReport};
+use dispatch::backpressure::ResponseKind;
+use dispatch::{LoadReport, ProbeFailure};
 use domain::{Millis, ServiceName, UpstreamId};
 use published::RunStart;
 use std::rc::Rc;
@@ -33,26 +33,26 @@
     let mut upstreams = host.upstreams.borrow_mut();
     let Some(known) = upstreams.get_run_mut(upstream, run) else { return };
     match is_well {
-        true => known.note_asked(),
-        false => known.note_ask_failed(now_ms, AskFailure::Unwell),
+        true => known.record_probe_success(),
+        false => known.record_probe_failure(now_ms, ProbeFailure::Unwell),
     }
 }
 
 pub(super) fn note_failure(
     host: &Host,
     (upstream, run): (&UpstreamId, RunStart),
-    failure: AskFailure,
+    failure: ProbeFailure,
 ) {
     let now_ms = host.now_ms();
     if let Some(known) = host.upstreams.borrow_mut().get_run_mut(upstream, run) {
-        known.note_ask_failed(now_ms, failure);
+        known.record_probe_failure(now_ms, failure);
     }
     host.log.write(&LogEvent::AskFailed { upstream, failure });
 }
 
 /// Asks an upstream for the schedulers of this host; false if no question is left.
 pub async fn refresh(host: &Rc<Host>, upstream: &UpstreamId) -> bool {
-    let may_ask = host.placing.asks.borrow_mut().take(host.now_ms(), upstream, 1.0);
+    let may_ask = host.placing.asks.borrow_mut().try_spend(host.now_ms(), upstream, 1.0);
     let known = host.upstreams.borrow().get(upstream).map(|known| known.entry.service.clone());
     let Some(service) = known.filter(|_| may_ask) else { return false };
     if let Some((connection, _)) = ask_within_limit(host, &service, upstream).await {
@@ -67,14 +67,14 @@
     upstream: &UpstreamId,
     budget: CheckBudget,
 ) -> bool {
-    let (upstreams, fleet) = (host.upstreams.borrow(), host.fleet_shape());
+    let (upstreams, fleet) = (host.upstreams.borrow(), host.fleet_size());
     let (budget, sharing) = match budget {
-        CheckBudget::Own => (&host.probe_budget, upstreams.sharing_hosts(service, upstream, fleet)),
+        CheckBudget::Own => (&host.probe_budget, upstreams.probing_hosts(service, upstream, fleet)),
         CheckBudget::Neighbours => {
-            (&host.zone_probe_budget, upstreams.sharing_neighbours(service, fleet))
+            (&host.zone_probe_budget, upstreams.probing_hosts_in_zone(service, fleet))
         }
     };
-    budget.borrow_mut().take(host.now_ms(), upstream, sharing)
+    budget.borrow_mut().try_spend(host.now_ms(), upstream, sharing)
 }
 
 /// Asks, and notes what came of it; the connection, and whether the upstream is well.
@@ -83,10 +83,10 @@
     service: &ServiceName,
     upstream: &UpstreamId,
 ) -> Option<(Connection, bool)> {
-    let run = host.upstreams.borrow().run(upstream);
+    let run = host.upstreams.borrow().current_run(upstream);
     let asking = question(host, service, (upstream, run));
     let result = clock::timeout(ASK_LIMIT, asking).await;
-    match result.unwrap_or(Err(AskFailure::Silent)) {
+    match result.unwrap_or(Err(ProbeFailure::TimedOut)) {
         Ok(Reply { connection, is_well }) => {
             note_reply(host, (upstream, run), is_well);
             Some((connection, is_well))
@@ -107,14 +107,14 @@
     host: &Rc<Host>,
     service: &ServiceName,
     (upstream, run): (&UpstreamId, RunStart),
-) -> Result<Reply, AskFailure> {
+) -> Result<Reply, ProbeFailure> {
     let path = health_path(host, service);
     let kept = host.pool.borrow_mut().take(upstream, run);
     if let Some(mut connection) = kept {
         match exchange(host, &mut connection, (upstream, run), &path).await {
             Ok(is_well) => return Ok(Reply { connection, is_well }),
             // A kept connection may have been forgotten; a question is harmless to repeat.
-            Err(AskFailure::Unreachable) => {}
+            Err(ProbeFailure::Unreachable) => {}
             Err(failure) => return Err(failure),
         }
     }
@@ -124,12 +124,15 @@
 }
 
 /// Opens a connection to an upstream.
-pub(super) async fn open(host: &Rc<Host>, upstream: &UpstreamId) -> Result<Connection, AskFailure> {
+pub(super) async fn open(
+    host: &Rc<Host>,
+    upstream: &UpstreamId,
+) -> Result<Connection, ProbeFailure> {
     let entry = host.upstreams.borrow().get(upstream).map(|known| Arc::clone(&known.entry));
-    let entry = entry.ok_or(AskFailure::Unreachable)?;
+    let entry = entry.ok_or(ProbeFailure::Unreachable)?;
     host.metrics.connection_opened();
     let connection = Connection::open(entry.address, CONNECT).await;
-    connection.map(|open| open.belonging_to(entry.run)).map_err(|_| AskFailure::Unreachable)
+    connection.map(|open| open.belonging_to(entry.run)).map_err(|_| ProbeFailure::Unreachable)
 }
 
 pub(super) fn health_path(host: &Host, service: &ServiceName) -> String {
@@ -143,24 +146,24 @@
     connection: &mut Connection,
     (upstream, run): (&UpstreamId, RunStart),
     path: &str,
-) -> Result<bool, AskFailure> {
+) -> Result<bool, ProbeFailure> {
     host.metrics.probe_sent();
     let request = format!("GET {path} HTTP/1.1\r\nhost: upstream\r\n\r\n");
     let id = Some((host.dialect.request_id, ""));
     let expected = Expected { has_body: true, id, silence: None };
     let answer = connection.exchange(request.as_bytes(), expected).await;
-    let answer = answer.map_err(|_| AskFailure::Unreachable)?;
+    let answer = answer.map_err(|_| ProbeFailure::Unreachable)?;
     host.log_unread_headers(upstream, &answer.head.fields, ResponseTo::HealthCheck);
     let is_other = |id: &str| id != upstream.as_str();
     if answer.head.fields.get(host.dialect.upstream).is_some_and(is_other) {
-        return Err(AskFailure::OtherUpstream);
+        return Err(ProbeFailure::OtherUpstream);
     }
     if let Some(report) = read_load(host, &answer.head.fields) {
         note_report(host, (upstream, run), report);
     }
     note_cold(host, (upstream, run), &answer.head.fields);
     let said = backpressure::read_fields(host, upstream, &answer.head.fields);
-    backpressure::note(host, (upstream, run), AnswerKind::HealthCheck, said);
+    backpressure::note(host, (upstream, run), ResponseKind::HealthCheck, said);
     Ok(answer.head.status == 200)
 }
 
@@ -172,7 +175,7 @@
 /// Notes what a run of an upstream told of its load.
 pub fn note_report(host: &Host, upstream: (&UpstreamId, RunStart), report: LoadReport) {
     let now_ms: Millis = host.now_ms();
-    host.upstreams.borrow_mut().note_report(now_ms, upstream, report);
+    host.upstreams.borrow_mut().record_report(now_ms, upstream, report);
 }
 
 /// Notes whether a run of an upstream is cold, as its answer to a health check tells: one that is
@@ -185,5 +188,5 @@
         let value = told.unwrap_or_default();
         return host.log_malformed_header(upstream, host.dialect.cold_ms, value.as_bytes());
     }
-    host.upstreams.borrow_mut().note_cold(host.now_ms(), upstream_run, left_ms);
+    host.upstreams.borrow_mut().record_warmup_left(host.now_ms(), upstream_run, left_ms);
 }
--- a/crates/gateway/src/fleet_message.rs
+++ b/crates/gateway/src/fleet_message.rs
@@ -6,7 +6,7 @@
 use crate::event_log::LogEvent;
 use crate::host::Host;
 use crate::peers::codec::{self, Datagram};
-use published::Listener;
+use published::Recipient;
 use rand::seq::SliceRandom;
 use std::net::SocketAddr;
 
@@ -18,18 +18,18 @@
 
 /// Tells all hosts; the message differs for those that are to pass it on in their zone.
 pub fn broadcast(host: &Host, message: impl Fn(bool) -> Datagram) {
-    let listeners = host.gossip.borrow_mut().listeners(host.now_ms());
-    for passes_on in [true, false] {
-        let told = listeners.iter().filter(|listener| listener.passes_on == passes_on);
-        let to: Vec<SocketAddr> = told.map(|&Listener { address, .. }| address).collect();
-        send(host, &message(passes_on), &to);
+    let recipients = host.gossip.borrow_mut().recipients(host.now_ms());
+    for should_relay in [true, false] {
+        let told = recipients.iter().filter(|recipient| recipient.should_relay == should_relay);
+        let to: Vec<SocketAddr> = told.map(|&Recipient { address, .. }| address).collect();
+        send(host, &message(should_relay), &to);
     }
 }
 
 /// Passes a message on in this host's zone.
 pub fn forward_in_zone(host: &Host, message: &Datagram) {
-    let neighbours = host.members().neighbours();
-    send(host, message, &neighbours);
+    let peers = host.members().local_zone_peers();
+    send(host, message, &peers);
 }
 
 /// Tells some peers, drawn at random.
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -14,11 +14,14 @@
 use crate::settings::Settings;
 use crate::unread_headers::UnreadHeaderLog;
 use clock::Clock;
-use dispatch::budget::{AskBudget, NEIGHBOURS_ASKS, RepeatBudget, SCHEDULERS_ASKS};
+use dispatch::budget::{LOCAL_ZONE_PROBE_SHARE, ProbeBudget, RetryBudget, SCHEDULER_PROBE_SHARE};
 use dispatch::quarantine::Quarantine;
-use dispatch::{FleetShape, MOST_KEPT, RateSender, SplitTable, UpstreamSet, kept_connections};
+use dispatch::{
+    FleetSize, LocalRateLimiter, MAX_IDLE_CONNECTIONS, SplitTable, UpstreamSet,
+    idle_connections_per_host,
+};
 use domain::{Millis, PerSecond, ServiceName, UpstreamId};
-use published::{Belief, Gossip, Member, Members, Picture, RouteTable};
+use published::{Gossip, Member, Members, PublishedState, RouteTable, StateChange};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, Ref, RefCell};
@@ -50,13 +53,13 @@
     /// What is known of upstreams.
     pub upstreams: RefCell<UpstreamSet>,
     /// Repeats that this host may spend.
-    pub retry_budget: RefCell<RepeatBudget>,
+    pub retry_budget: RefCell<RetryBudget>,
     /// Health checks that this host may spend on its own requests.
-    pub probe_budget: RefCell<AskBudget>,
+    pub probe_budget: RefCell<ProbeBudget>,
     /// Those that it may spend besides on upstreams of its availability zone.
-    pub zone_probe_budget: RefCell<AskBudget>,
+    pub zone_probe_budget: RefCell<ProbeBudget>,
     /// What this host may send by itself to upstreams that take a rate from the whole fleet.
-    pub rate_limiter: RefCell<RateSender>,
+    pub rate_limiter: RefCell<LocalRateLimiter>,
     /// Its part in scheduling.
     pub placing: Placing,
     /// Where split routes stand.
@@ -123,14 +126,14 @@
                 settings.host.clone(),
                 settings.availability_zone.clone(),
             )),
-            retry_budget: RefCell::new(RepeatBudget::new(settings.limits.retries, now_ms)),
-            probe_budget: RefCell::new(AskBudget::new(own_asks(&settings))),
-            zone_probe_budget: RefCell::new(AskBudget::new(neighbours_asks(&settings))),
-            rate_limiter: RefCell::new(RateSender::new(settings.host.clone())),
+            retry_budget: RefCell::new(RetryBudget::new(settings.limits.retries, now_ms)),
+            probe_budget: RefCell::new(ProbeBudget::new(own_asks(&settings))),
+            zone_probe_budget: RefCell::new(ProbeBudget::new(neighbours_asks(&settings))),
+            rate_limiter: RefCell::new(LocalRateLimiter::new(settings.host.clone())),
             placing: Placing::new(
                 socket,
                 settings.host.clone(),
-                AskBudget::new(schedulers_asks(&settings)),
+                ProbeBudget::new(schedulers_asks(&settings)),
                 seed,
             ),
             split_table: RefCell::default(),
@@ -163,8 +166,8 @@
     }
 
     /// What is believed to be published.
-    pub fn published_state(&self) -> Ref<'_, Picture> {
-        Ref::map(self.gossip.borrow(), Gossip::picture)
+    pub fn published_state(&self) -> Ref<'_, PublishedState> {
+        Ref::map(self.gossip.borrow(), Gossip::published_state)
     }
 
     /// Hosts heard of.
@@ -198,26 +201,27 @@
     }
 
     /// Hosts that share health checks.
-    pub fn fleet_shape(&self) -> FleetShape {
+    pub fn fleet_size(&self) -> FleetSize {
         let members = self.members();
-        FleetShape { hosts: members.count(), hosts_in_zone: members.count_in_zone() }
+        FleetSize { hosts: members.count(), hosts_in_zone: members.count_in_zone() }
     }
 
     /// Puts a changed picture to use, and tells operators.
-    pub fn apply_state_changes(&self, beliefs: &[Belief], from: &str) {
+    pub fn apply_state_changes(&self, beliefs: &[StateChange], from: &str) {
         for belief in beliefs.iter().take(MOST_BELIEFS_TOLD) {
             self.log.write(&LogEvent::Belief { belief, from });
-            if let Belief::ZoneEvacuated { zone, .. } = belief {
+            if let StateChange::ZoneEvacuated { zone, .. } = belief {
                 let upstreams = self.published_state().upstreams_in(zone);
                 self.log.write(&LogEvent::EvacuatedZone { zone, upstreams });
             }
         }
         if let Some(rest) = beliefs.get(MOST_BELIEFS_TOLD..).filter(|rest| !rest.is_empty()) {
-            let count_of = |is_it: fn(&Belief) -> bool| rest.iter().filter(|b| is_it(b)).count();
+            let count_of =
+                |is_it: fn(&StateChange) -> bool| rest.iter().filter(|b| is_it(b)).count();
             self.log.write(&LogEvent::MoreBeliefs {
                 count: rest.len(),
-                joined: count_of(|belief| matches!(belief, Belief::UpstreamJoined { .. })),
-                gone: count_of(|belief| matches!(belief, Belief::UpstreamGone { .. })),
+                joined: count_of(|belief| matches!(belief, StateChange::UpstreamJoined { .. })),
+                gone: count_of(|belief| matches!(belief, StateChange::UpstreamGone { .. })),
                 from,
             });
         }
@@ -245,7 +249,7 @@
     pub fn record_awake(&self) {
         let now_ms = self.now_ms();
         for asks in [&self.probe_budget, &self.zone_probe_budget, &self.placing.asks] {
-            asks.borrow_mut().note_awake(now_ms);
+            asks.borrow_mut().record_awake(now_ms);
         }
     }
 
@@ -256,7 +260,9 @@
         let hosts = self.host_count();
         let most = |service: &ServiceName| {
             let settings = table.as_ref().and_then(|table| table.service(service));
-            settings.map_or(MOST_KEPT, |settings| kept_connections(settings.max_connections, hosts))
+            settings.map_or(MAX_IDLE_CONNECTIONS, |settings| {
+                idle_connections_per_host(settings.max_connections, hosts)
+            })
         };
         self.pool.borrow_mut().prune(|id| {
             let upstream = &picture.upstream(id)?.value;
@@ -295,17 +301,17 @@
 
 /// Health checks for requests that nobody schedules.
 fn own_asks(settings: &Settings) -> PerSecond {
-    PerSecond(settings.limits.probes.0 * (1.0 - SCHEDULERS_ASKS - NEIGHBOURS_ASKS))
+    PerSecond(settings.limits.probes.0 * (1.0 - SCHEDULER_PROBE_SHARE - LOCAL_ZONE_PROBE_SHARE))
 }
 
 /// Health checks for requests that go to an idle upstream of the own availability zone.
 fn neighbours_asks(settings: &Settings) -> PerSecond {
-    PerSecond(settings.limits.probes.0 * NEIGHBOURS_ASKS)
+    PerSecond(settings.limits.probes.0 * LOCAL_ZONE_PROBE_SHARE)
 }
 
 /// Health checks for requests that this host schedules.
 fn schedulers_asks(settings: &Settings) -> PerSecond {
-    PerSecond(settings.limits.probes.0 * SCHEDULERS_ASKS)
+    PerSecond(settings.limits.probes.0 * SCHEDULER_PROBE_SHARE)
 }
 
 /// A span of the clock type as the runtime's.
--- a/crates/gateway/src/host/rates.rs
+++ b/crates/gateway/src/host/rates.rs
@@ -1,7 +1,7 @@
 //! What this host may send by itself to upstreams that take less than what comes.
 
 use super::Host;
-use dispatch::{FleetShape, UpstreamSet, sharing_fleet};
+use dispatch::{FleetSize, UpstreamSet, assumed_fleet};
 use domain::{ServiceName, UpstreamId};
 
 impl Host {
@@ -22,7 +22,7 @@
         upstreams: &UpstreamSet,
         service: &ServiceName,
     ) -> Vec<UpstreamId> {
-        self.rate_limiter.borrow().held_back(
+        self.rate_limiter.borrow().blocked_upstreams(
             self.now_ms(),
             upstreams,
             service,
@@ -33,11 +33,11 @@
     /// This host sends a request by itself to an upstream, which may take a rate only.
     pub fn record_rated_send(&self, id: &UpstreamId) {
         let (now_ms, hosts) = (self.now_ms(), self.fleet_sharing_rates().hosts);
-        self.rate_limiter.borrow_mut().note_sent(now_ms, &self.upstreams.borrow(), id, hosts);
+        self.rate_limiter.borrow_mut().record_sent(now_ms, &self.upstreams.borrow(), id, hosts);
     }
 
     /// Hosts that share what the fleet may send to an upstream.
-    pub fn fleet_sharing_rates(&self) -> FleetShape {
-        sharing_fleet(self.fleet_shape(), self.now_ms())
+    pub fn fleet_sharing_rates(&self) -> FleetSize {
+        assumed_fleet(self.fleet_size(), self.now_ms())
     }
 }
--- a/crates/gateway/src/serve/settling.rs
+++ b/crates/gateway/src/serve/settling.rs
@@ -5,14 +5,14 @@
 use crate::connection::Answer;
 use crate::event_log::LogEvent;
 use crate::host::to_duration;
-use dispatch::SendFailure;
-use dispatch::attempts::{self, AttemptState, Cause, End, Next, Refusal};
+use dispatch::AttemptFailure;
+use dispatch::attempts::{self, AttemptResult, AttemptState, Cause, NextStep, Refusal};
 use domain::{Millis, UpstreamId};
 
 /// How a sending ended.
 pub(super) struct Ended {
     pub(super) upstream: UpstreamId,
-    pub(super) end: End,
+    pub(super) end: AttemptResult,
     pub(super) answer: Option<Answer>,
     pub(super) sent_ms: Millis,
     /// The upstream crashed under it.
@@ -40,36 +40,36 @@
         if attempts::is_not_run(ended.end) {
             counts.not_run += 1;
         }
-        if ended.end == End::NotSent {
+        if ended.end == AttemptResult::NotSent {
             counts.arrived -= 1;
         }
         self.note_failure(&ended, now_ms);
         let needs_repeat = counts.arrived > 0;
         let state = AttemptState {
-            repeat: self.route().repeat,
+            repeat: self.route().idempotency,
             may_have_run: counts.may_have_run(),
-            sent: counts.sent,
-            attempts: self.route().attempts,
+            attempts_made: counts.sent,
+            max_attempts: self.route().attempts,
             left_ms: self.end_ms.since(now_ms),
             is_budget_spent: needs_repeat
-                && self.host.retry_budget.borrow().left(self.host.now_ms(), &self.service) < 1.0,
+                && self.host.retry_budget.borrow().remaining(self.host.now_ms(), &self.service) < 1.0,
         };
-        match (attempts::next(state, ended.end), ended.answer) {
-            (Next::Deliver, Some(answer)) => {
+        match (attempts::next_step(state, ended.end), ended.answer) {
+            (NextStep::Deliver, Some(answer)) => {
                 Some(Ok(self.deliver(&ended.upstream, answer, counts)))
             }
             // Only answers are delivered.
-            (Next::Deliver, None) => Some(Err(Refusal::unknown(Cause::UpstreamFailed))),
-            (Next::SendAgain, answer) => {
+            (NextStep::Deliver, None) => Some(Err(Refusal::may_have_run(Cause::UpstreamFailed))),
+            (NextStep::Retry, answer) => {
                 if needs_repeat {
-                    self.host.retry_budget.borrow_mut().take(now_ms, &self.service);
+                    self.host.retry_budget.borrow_mut().try_spend(now_ms, &self.service);
                 }
                 if let (Some(answer), true) = (answer, is_own_failure(ended.end)) {
                     *kept = Some(KeptFailure { upstream: ended.upstream, answer });
                 }
                 None
             }
-            (Next::Refuse(refusal), _) => Some(Err(refusal)),
+            (NextStep::Refuse(refusal), _) => Some(Err(refusal)),
         }
     }
 
@@ -105,24 +105,24 @@
             after_ms: now_ms.since(ended.sent_ms),
             status: ended.answer.as_ref().map(|answer| answer.head.status),
             is_not_run: attempts::is_not_run(ended.end),
-            repeats_left: self.host.retry_budget.borrow().left(self.host.now_ms(), &self.service),
+            repeats_left: self.host.retry_budget.borrow().remaining(self.host.now_ms(), &self.service),
             fingerprint: self.fingerprint(),
             has_crashed: ended.has_crashed,
         });
     }
 }
 
-fn is_own_failure(end: End) -> bool {
-    matches!(end, End::Answered(answered) if attempts::is_own_failure(answered))
+fn is_own_failure(end: AttemptResult) -> bool {
+    matches!(end, AttemptResult::Answered(answered) if attempts::is_upstream_failure(answered))
 }
 
-pub(super) fn failure_of(end: End) -> Option<SendFailure> {
+pub(super) fn failure_of(end: AttemptResult) -> Option<AttemptFailure> {
     match end {
-        End::Answered(answered) if answered.not_run => Some(SendFailure::Shed),
-        End::Answered(answered) if answered.status >= 500 || !answered.is_sealed => {
-            Some(SendFailure::ErrorAnswer)
+        AttemptResult::Answered(answered) if answered.not_run => Some(AttemptFailure::Shed),
+        AttemptResult::Answered(answered) if answered.status >= 500 || !answered.is_sealed => {
+            Some(AttemptFailure::ErrorResponse)
         }
-        End::Answered(_) => None,
-        End::NotSent | End::Broken => Some(SendFailure::Broken),
+        AttemptResult::Answered(_) => None,
+        AttemptResult::NotSent | AttemptResult::Broken => Some(AttemptFailure::Disconnected),
     }
 }
--- a/crates/gateway/src/source_reader.rs
+++ b/crates/gateway/src/source_reader.rs
@@ -47,7 +47,7 @@
     /// Reads whenever it is due; never ends.
     pub async fn run(mut self) {
         loop {
-            if self.host.gossip.borrow().is_being_told(self.host.now_ms()) {
+            if self.host.gossip.borrow().is_bootstrap_pending(self.host.now_ms()) {
                 self.wait_until(self.host.now_ms() + OFFER_STEP_MS).await;
                 continue;
             }
@@ -57,7 +57,12 @@
             let step = {
                 let gossip = self.host.gossip.borrow();
                 let is_wanted = self.host.is_routing_awaited.get();
-                self.reader.step(self.host.now_ms(), gossip.members(), gossip.picture(), is_wanted)
+                self.reader.step(
+                    self.host.now_ms(),
+                    gossip.members(),
+                    gossip.published_state(),
+                    is_wanted,
+                )
             };
             self.note_part();
             self.note_hold();
@@ -65,8 +70,8 @@
             match step {
                 ReadStep::Wait(until_ms) => self.wait_until(until_ms).await,
                 ReadStep::Sample => self.read_sample().await,
-                ReadStep::First => self.read_first_page().await,
-                ReadStep::Whole => self.read_all().await,
+                ReadStep::FirstPage => self.read_first_page().await,
+                ReadStep::Snapshot => self.read_all().await,
                 ReadStep::Changes(wait_ms) => self.read_changes(wait_ms).await,
             }
             self.host.source_calls.set(self.source.calls());
@@ -91,7 +96,7 @@
 
     /// Others could not read either: this host leaves the source alone for a while.
     fn note_hold(&mut self) {
-        let held_until_ms = self.reader.held_until_ms();
+        let held_until_ms = self.reader.outage_retry_ms();
         let was_held = std::mem::replace(&mut self.was_held, held_until_ms.is_some());
         if let Some(until_ms) = held_until_ms.filter(|_| !was_held) {
             let now_ms = self.host.now_ms();
@@ -111,8 +116,8 @@
                 let now_ms = self.host.now_ms();
                 self.note_unreadable(&unreadable);
                 let is_enough = published::covers_services(&value);
-                self.peers.run_gossip(|gossip| gossip.take_page(now_ms, value));
-                self.reader.sampled(is_enough);
+                self.peers.run_gossip(|gossip| gossip.apply_partial_items(now_ms, value));
+                self.reader.sample_succeeded(is_enough);
             }
             Err(error) => self.note_failure(&error),
         }
@@ -121,7 +126,7 @@
     /// One call: all of a small source, and of a large one enough to serve until a peer tells
     /// the rest.
     async fn read_first_page(&mut self) {
-        self.host.gossip.borrow_mut().set_reading(true);
+        self.host.gossip.borrow_mut().set_initial_read(true);
         match self.source.read_first_page().await {
             Ok(ReadResult { value: Page { values, next: None }, unreadable }) => {
                 self.take_whole(ReadResult { value: values, unreadable });
@@ -129,9 +134,9 @@
             Ok(begun) => {
                 let now_ms = self.host.now_ms();
                 let items = begun.value.values.items.clone();
-                self.peers.run_gossip(|gossip| gossip.take_page(now_ms, items));
-                let reads_on = self.reader.began();
-                self.host.gossip.borrow_mut().set_reading(reads_on);
+                self.peers.run_gossip(|gossip| gossip.apply_partial_items(now_ms, items));
+                let reads_on = self.reader.first_page_succeeded();
+                self.host.gossip.borrow_mut().set_initial_read(reads_on);
                 self.begun = Some(begun);
             }
             Err(error) => self.note_failure(&error),
@@ -139,7 +144,7 @@
     }
 
     async fn read_all(&mut self) {
-        self.host.gossip.borrow_mut().set_reading(true);
+        self.host.gossip.borrow_mut().set_initial_read(true);
         let reading = match self.begun.take() {
             Some(begun) => self.source.read_remaining_pages(begun).await,
             None => self.source.read_all().await,
@@ -154,7 +159,7 @@
         let now_ms = self.host.now_ms();
         self.note_unreadable(&reading.unreadable);
         self.note_success(now_ms, reading.value.revision);
-        self.peers.run_gossip(|gossip| gossip.take_whole(now_ms, reading.value));
+        self.peers.run_gossip(|gossip| gossip.apply_snapshot(now_ms, reading.value));
         self.reader.succeeded(now_ms, true);
     }
 
@@ -172,7 +177,7 @@
         let Changes { revision, changes } = reading.value;
         self.note_success(now_ms, revision);
         self.reader.succeeded(now_ms, !changes.is_empty());
-        self.peers.run_gossip(|gossip| gossip.take_changes(now_ms, after, revision, &changes));
+        self.peers.run_gossip(|gossip| gossip.apply_changes(now_ms, after, revision, &changes));
     }
 
     fn note_unreadable(&self, unreadable: &[UnreadableValue]) {
@@ -211,11 +216,11 @@
     fn note_failure(&mut self, error: &SourceError) {
         let now_ms = self.host.now_ms();
         if *error == SourceError::HistoryGone {
-            self.reader.needs_whole();
+            self.reader.require_snapshot();
             return;
         }
         self.reader.failed(now_ms);
-        self.peers.run_gossip(|gossip| gossip.tell_unread(now_ms));
+        self.peers.run_gossip(|gossip| gossip.broadcast_read_failure(now_ms));
         if self.lost_ms.is_none() {
             self.lost_ms = Some(now_ms);
             let picture_age_ms = self.host.state_age_ms();
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -5,15 +5,15 @@
 pub mod source;
 pub mod upstream;
 
-use dispatch::budget::FleetRepeats;
+use dispatch::budget::FleetRetryLimits;
 use domain::{ByteCount, Connections, Millis, PerSecond, ServiceName, Share, Slots, Version};
 use gateway::dialect::Dialect;
 use gateway::event_log::EventLog;
 use gateway::run::{Gateway, Reload};
 use gateway::settings::{FleetLimits, Settings};
 use published::{
-    CallerLimits, Capacity, Destination, Item, Repeat, Route, Routing, RunStart, ServiceSettings,
-    Upstream, UpstreamMode,
+    CallerLimits, Capacity, Destination, Idempotency, Item, Route, Routing, RunStart,
+    ServiceSettings, Upstream, UpstreamMode,
 };
 use source::{Published, StandInSource};
 use std::net::SocketAddr;
@@ -36,11 +36,11 @@
 
 /// Routes: `/once/` must not run twice, `/any/` may.
 pub fn routing(version: u64) -> Routing {
-    let route = |name: &str, repeat| Route {
+    let route = |name: &str, idempotency| Route {
         name: name.to_owned(),
         host: "a.example".to_owned(),
         prefix: format!("/{name}/"),
-        repeat,
+        idempotency,
         objective_ms: Millis(400),
         timeout_ms: Millis(1_200),
         attempts: 2,
@@ -55,7 +55,7 @@
             head_timeout_ms: Millis(500),
             idle_timeout_ms: Millis(5_000),
         },
-        routes: vec![route("any", Repeat::Idempotent), route("once", Repeat::AtMostOnce)],
+        routes: vec![route("any", Idempotency::Idempotent), route("once", Idempotency::AtMostOnce)],
         services: vec![ServiceSettings {
             name: service(),
             health_path: "/healthz".to_owned(),
@@ -111,7 +111,11 @@
         is_first_start: false,
         capacity: Capacity::default(),
         limits: FleetLimits {
-            retries: FleetRepeats { ratio: Share(0.2), slack: 400.0, window_ms: Millis(10_000) },
+            retries: FleetRetryLimits {
+                ratio: Share(0.2),
+                slack: 400.0,
+                window_ms: Millis(10_000),
+            },
             probes: PerSecond(10_000.0),
             stop_ms: Millis(6_000),
         },
--- a/crates/published/src/picture/evacuated.rs
+++ b/crates/published/src/state/evacuated.rs
@@ -1,17 +1,17 @@
-//! The picture's evacuated zones: what peers are told of them, and how they end.
+//! Evacuated zones of the published state.
 
-use super::Picture;
-use crate::{Belief, Entry, EvacuationEnd, Evacuations, Item, Revision, Snapshot, Upstream};
+use super::PublishedState;
+use crate::{Entry, EvacuationEnd, Evacuations, Item, Revision, Snapshot, StateChange, Upstream};
 use domain::{FastSet, Millis, ZoneName};
 use std::sync::Arc;
 
-impl Picture {
-    /// The availability zones that are evacuated.
+impl PublishedState {
+    /// The evacuated availability zones.
     pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
-    /// How many upstreams stand in an availability zone.
+    /// Number of upstreams in an availability zone.
     pub fn upstreams_in(&self, zone: &ZoneName) -> usize {
         let is_there = |entry: &&Entry<Arc<Upstream>>| entry.value.availability_zone == *zone;
         self.upstreams.values().filter(is_there).count()
@@ -26,16 +26,16 @@
         self.evacuations.in_force().map(entry)
     }
 
-    /// Evacuations that are held, and that a whole reading no longer names.
-    pub(super) fn evacuations_missing_from(&self, whole: &Snapshot) -> Vec<ZoneName> {
+    /// The evacuations in force that a snapshot no longer contains.
+    pub(super) fn evacuations_missing_from(&self, snapshot: &Snapshot) -> Vec<ZoneName> {
         let zone = |entry: &'_ Entry<Item>| match &entry.value {
             Item::Evacuation(zone) => Some(zone.clone()),
             Item::Routing(_) | Item::Upstream(_) => None,
         };
-        let listed: FastSet<ZoneName> = whole.items.iter().filter_map(zone).collect();
+        let listed: FastSet<ZoneName> = snapshot.items.iter().filter_map(zone).collect();
         let in_force = self.evacuations.in_force();
         let missing = in_force
-            .filter(|(zone, revision)| *revision <= whole.revision && !listed.contains(*zone));
+            .filter(|(zone, revision)| *revision <= snapshot.revision && !listed.contains(*zone));
         missing.map(|(zone, _)| zone.clone()).collect()
     }
 
@@ -43,11 +43,11 @@
         &mut self,
         now_ms: Millis,
         end: EvacuationEnd,
-        beliefs: &mut Vec<Belief>,
+        state_changes: &mut Vec<StateChange>,
     ) {
         if self.evacuations.end(now_ms, end.clone()) {
             let EvacuationEnd { zone, revision } = end;
-            beliefs.push(Belief::ZoneRestored { zone, revision });
+            state_changes.push(StateChange::ZoneRestored { zone, revision });
         }
     }
 }
