--- a/crates/gateway/src/backpressure.rs
+++ b/crates/gateway/src/backpressure.rs
@@ -68,7 +68,7 @@
         b"1" => true,
         b"0" => false,
         other => {
-            host.note_unreadable(upstream, mark, other);
+            host.log_malformed_header(upstream, mark, other);
             false
         }
     })
@@ -98,7 +98,7 @@
     fields.all(mark).filter_map(move |value| {
         let number = read_decimal(value);
         if number.is_none() {
-            host.note_unreadable(upstream, mark, value);
+            host.log_malformed_header(upstream, mark, value);
         }
         number
     })
@@ -118,13 +118,13 @@
     let changed = host.upstreams.borrow_mut().record_backpressure(now_ms, at, kind, said);
     announce(host, changed, "upstream");
     if host.upstreams.borrow().backpressure().has_pending()
-        && !host.tells_backpressure.replace(true)
+        && !host.is_backpressure_broadcast_due.replace(true)
     {
         let host = Rc::clone(host);
         tokio::task::spawn_local(async move {
             let part = host.rng.borrow_mut().random::<f64>();
             clock::sleep(TELL_WITHIN.mul_f64(part)).await;
-            host.tells_backpressure.set(false);
+            host.is_backpressure_broadcast_due.set(false);
             tell_fleet(&host).await;
         });
     }
@@ -136,15 +136,15 @@
     let digest = host.upstreams.borrow().backpressure().digest();
     if digest != 0 {
         let offer = Datagram::Backpressure(BackpressureMessage::Digest { digest });
-        fleet_message::tell_some(host, &offer, 1);
+        fleet_message::send_to_random_peers(host, &offer, 1);
     }
 }
 
 /// Peers were heard of. After the start they are asked for what upstreams said before.
 pub fn catch_up_after_start(host: &Host) {
-    let asked = host.backpressure_asks.get();
-    if asked < fleet_message::START_ASKS {
-        host.backpressure_asks.set(asked + 1);
+    let asked = host.backpressure_requests_sent.get();
+    if asked < fleet_message::START_REQUESTS {
+        host.backpressure_requests_sent.set(asked + 1);
         request_from_peers(host);
     }
 }
@@ -153,7 +153,7 @@
 pub fn request_from_peers(host: &Host) {
     let digest = host.upstreams.borrow().backpressure().digest();
     let ask = Datagram::Backpressure(BackpressureMessage::Request { digest });
-    fleet_message::ask_some(host, &ask);
+    fleet_message::request_from_random_peers(host, &ask);
 }
 
 /// Takes a peer's message; true if the peer waits to hear that this host is there.
@@ -162,7 +162,7 @@
     match message {
         BackpressureMessage::Update { updates, should_relay } => {
             if should_relay {
-                fleet_message::pass_on(host, &stated(updates.clone(), false));
+                fleet_message::forward_in_zone(host, &stated(updates.clone(), false));
             }
             let now_ms = host.now_ms();
             let changed = host.upstreams.borrow_mut().merge_backpressure(now_ms, updates);
@@ -196,7 +196,7 @@
             ..update.clone()
         };
         let updates: Vec<BackpressureUpdate> = untold.iter().map(later).collect();
-        fleet_message::tell_fleet(host, |should_relay| stated(updates.clone(), should_relay));
+        fleet_message::broadcast(host, |should_relay| stated(updates.clone(), should_relay));
     }
 }
 
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -12,7 +12,7 @@
 use crate::placement::PlacementState;
 use crate::pool::{Pool, PoolLimit};
 use crate::settings::Settings;
-use crate::unread::UnreadMarks;
+use crate::unread_headers::UnreadHeaderLog;
 use clock::Clock;
 use dispatch::budget::{LOCAL_ZONE_PROBE_SHARE, ProbeBudget, RetryBudget, SCHEDULER_PROBE_SHARE};
 use dispatch::quarantine::Quarantine;
@@ -53,33 +53,33 @@
     /// What is known of upstreams.
     pub upstreams: RefCell<UpstreamSet>,
     /// Repeats that this host may spend.
-    pub repeats: RefCell<RetryBudget>,
+    pub retry_budget: RefCell<RetryBudget>,
     /// Health checks that this host may spend on its own requests.
-    pub asks: RefCell<ProbeBudget>,
+    pub probe_budget: RefCell<ProbeBudget>,
     /// Those that it may spend besides on upstreams of its availability zone.
-    pub neighbours_asks: RefCell<ProbeBudget>,
+    pub zone_probe_budget: RefCell<ProbeBudget>,
     /// What this host may send by itself to upstreams that take a rate from the whole fleet.
-    pub rates: RefCell<LocalRateLimiter>,
+    pub rate_limiter: RefCell<LocalRateLimiter>,
     /// Its part in scheduling.
     pub placement: PlacementState,
     /// Where split routes stand.
-    pub splits: RefCell<SplitTable>,
+    pub split_table: RefCell<SplitTable>,
     /// Idle connections to upstreams.
     pub pool: RefCell<Pool>,
     /// Requests that crash upstreams.
     pub quarantine: RefCell<Quarantine>,
     /// How often peers were asked after the start what is held against requests.
-    pub quarantine_asks: Cell<u32>,
+    pub quarantine_requests_sent: Cell<u32>,
     /// How often peers were asked after the start what upstreams said of the load that they bear.
-    pub backpressure_asks: Cell<u32>,
+    pub backpressure_requests_sent: Cell<u32>,
     /// Whether peers are to be told of that in a moment.
-    pub tells_backpressure: Cell<bool>,
+    pub is_backpressure_broadcast_due: Cell<bool>,
     /// Woken when something else is held against a request, or a trial ended.
-    pub quarantine_news: Notify,
+    pub quarantine_changed: Notify,
     /// What upstreams say that nothing reads.
-    pub unread: RefCell<UnreadMarks>,
+    pub unread_headers: RefCell<UnreadHeaderLog>,
     /// Marks that are read, with values that make no sense.
-    pub unreadable: RefCell<UnreadMarks>,
+    pub malformed_headers: RefCell<UnreadHeaderLog>,
     /// Randomness.
     pub rng: RefCell<Pcg64Mcg>,
     /// Structured logs.
@@ -87,21 +87,21 @@
     /// Counts.
     pub metrics: Metrics,
     /// Woken when the picture changed or was confirmed.
-    pub news: Notify,
+    pub state_updated: Notify,
     /// Callers wait for the first routing, or did.
-    pub awaits_routing: Cell<bool>,
+    pub is_routing_awaited: Cell<bool>,
     /// Requests without a final answer.
     pub open_requests: Cell<usize>,
     /// Callers' connections that are open.
-    pub open_sessions: Cell<usize>,
+    pub open_caller_connections: Cell<usize>,
     /// Large answers that are being given to peers.
-    pub large_answers: Cell<usize>,
+    pub large_replies_in_progress: Cell<usize>,
     /// Calls to the source so far.
     pub source_calls: Cell<u64>,
     /// Turns true when the process is to stop.
     pub stopping: watch::Sender<bool>,
     /// Turns true when callers' connections are to be closed as soon as they are idle.
-    pub closing: watch::Sender<bool>,
+    pub closing_idle: watch::Sender<bool>,
 }
 
 impl Host {
@@ -126,36 +126,36 @@
                 settings.host.clone(),
                 settings.availability_zone.clone(),
             )),
-            repeats: RefCell::new(RetryBudget::new(settings.limits.repeats, now_ms)),
-            asks: RefCell::new(ProbeBudget::new(own_asks(&settings))),
-            neighbours_asks: RefCell::new(ProbeBudget::new(neighbours_asks(&settings))),
-            rates: RefCell::new(LocalRateLimiter::new(settings.host.clone())),
+            retry_budget: RefCell::new(RetryBudget::new(settings.limits.retries, now_ms)),
+            probe_budget: RefCell::new(ProbeBudget::new(own_asks(&settings))),
+            zone_probe_budget: RefCell::new(ProbeBudget::new(neighbours_asks(&settings))),
+            rate_limiter: RefCell::new(LocalRateLimiter::new(settings.host.clone())),
             placement: PlacementState::new(
                 socket,
                 settings.host.clone(),
                 ProbeBudget::new(schedulers_asks(&settings)),
                 seed,
             ),
-            splits: RefCell::default(),
+            split_table: RefCell::default(),
             pool: RefCell::default(),
             quarantine: RefCell::default(),
-            quarantine_asks: Cell::new(0),
-            backpressure_asks: Cell::new(0),
-            tells_backpressure: Cell::new(false),
-            quarantine_news: Notify::new(),
-            unread: RefCell::default(),
-            unreadable: RefCell::default(),
+            quarantine_requests_sent: Cell::new(0),
+            backpressure_requests_sent: Cell::new(0),
+            is_backpressure_broadcast_due: Cell::new(false),
+            quarantine_changed: Notify::new(),
+            unread_headers: RefCell::default(),
+            malformed_headers: RefCell::default(),
             rng: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
             log,
             metrics,
-            news: Notify::new(),
-            awaits_routing: Cell::new(false),
+            state_updated: Notify::new(),
+            is_routing_awaited: Cell::new(false),
             open_requests: Cell::new(0),
-            open_sessions: Cell::new(0),
-            large_answers: Cell::new(0),
+            open_caller_connections: Cell::new(0),
+            large_replies_in_progress: Cell::new(0),
             source_calls: Cell::new(0),
             stopping: watch::Sender::new(false),
-            closing: watch::Sender::new(false),
+            closing_idle: watch::Sender::new(false),
             settings: RefCell::new(settings),
         })
     }
@@ -166,7 +166,7 @@
     }
 
     /// What is believed to be published.
-    pub fn picture(&self) -> Ref<'_, PublishedState> {
+    pub fn published_state(&self) -> Ref<'_, PublishedState> {
         Ref::map(self.gossip.borrow(), Gossip::published_state)
     }
 
@@ -176,8 +176,8 @@
     }
 
     /// Age of the picture.
-    pub fn picture_age_ms(&self) -> Option<Millis> {
-        self.picture().age_ms(self.now_ms())
+    pub fn state_age_ms(&self) -> Option<Millis> {
+        self.published_state().age_ms(self.now_ms())
     }
 
     /// Whether the process is to stop.
@@ -192,11 +192,11 @@
 
     /// Whether only some upstreams are known: requests are served, but nothing is scheduled.
     pub fn is_partial(&self) -> bool {
-        self.picture().is_partial()
+        self.published_state().is_partial()
     }
 
     /// Hosts that share the fleet's budgets.
-    pub fn hosts(&self) -> u32 {
+    pub fn host_count(&self) -> u32 {
         self.members().count()
     }
 
@@ -207,11 +207,11 @@
     }
 
     /// Puts a changed picture to use, and tells operators.
-    pub fn picture_changed(&self, beliefs: &[StateChange], from: &str) {
+    pub fn apply_state_changes(&self, beliefs: &[StateChange], from: &str) {
         for belief in beliefs.iter().take(MOST_BELIEFS_TOLD) {
             self.log.write(&LogEvent::Belief { belief, from });
             if let StateChange::ZoneEvacuated { zone, .. } = belief {
-                let upstreams = self.picture().upstreams_in(zone);
+                let upstreams = self.published_state().upstreams_in(zone);
                 self.log.write(&LogEvent::EvacuatedZone { zone, upstreams });
             }
         }
@@ -228,16 +228,16 @@
         if !beliefs.is_empty() {
             self.adopt();
         }
-        self.news.notify_waiters();
+        self.state_updated.notify_waiters();
     }
 
     /// Takes another settings file into force; addresses stay those of the start.
     pub fn reload(&self, settings: Settings) {
         let mut held = self.settings.borrow_mut();
         let is_changed = *held != settings;
-        self.repeats.borrow_mut().set_allowed(settings.limits.repeats);
-        self.asks.borrow_mut().set_allowed(own_asks(&settings));
-        self.neighbours_asks.borrow_mut().set_allowed(neighbours_asks(&settings));
+        self.retry_budget.borrow_mut().set_allowed(settings.limits.retries);
+        self.probe_budget.borrow_mut().set_allowed(own_asks(&settings));
+        self.zone_probe_budget.borrow_mut().set_allowed(neighbours_asks(&settings));
         self.placement.probe_budget.borrow_mut().set_allowed(schedulers_asks(&settings));
         held.limits = settings.limits;
         held.seeds = settings.seeds;
@@ -246,18 +246,18 @@
     }
 
     /// The process is awake: budgets save nothing up for the time in which it wasn't.
-    pub fn note_awake(&self) {
+    pub fn record_awake(&self) {
         let now_ms = self.now_ms();
-        for asks in [&self.asks, &self.neighbours_asks, &self.placement.probe_budget] {
+        for asks in [&self.probe_budget, &self.zone_probe_budget, &self.placement.probe_budget] {
             asks.borrow_mut().record_awake(now_ms);
         }
     }
 
     /// Closes idle connections that are of no use any more.
     pub fn prune_connections(&self) {
-        let picture = self.picture();
+        let picture = self.published_state();
         let table = self.table.borrow();
-        let hosts = self.hosts();
+        let hosts = self.host_count();
         let most = |service: &ServiceName| {
             let settings = table.as_ref().and_then(|table| table.service(service));
             settings.map_or(MAX_IDLE_CONNECTIONS, |settings| {
@@ -271,18 +271,18 @@
     }
 
     fn adopt(&self) {
-        let picture = self.picture();
+        let picture = self.published_state();
         let now_ms = self.now_ms();
         let evacuations = picture.evacuations();
         self.upstreams.borrow_mut().sync(now_ms, picture.upstreams(), evacuations);
         let is_known = |id: &UpstreamId| picture.upstream(id).is_some();
         self.prune_connections();
-        self.asks.borrow_mut().retain(is_known);
-        self.neighbours_asks.borrow_mut().retain(is_known);
+        self.probe_budget.borrow_mut().retain(is_known);
+        self.zone_probe_budget.borrow_mut().retain(is_known);
         self.placement.probe_budget.borrow_mut().retain(is_known);
-        self.rates.borrow_mut().retain(now_ms, is_known);
-        self.unread.borrow_mut().retain(is_known);
-        self.unreadable.borrow_mut().retain(is_known);
+        self.rate_limiter.borrow_mut().retain(now_ms, is_known);
+        self.unread_headers.borrow_mut().retain(is_known);
+        self.malformed_headers.borrow_mut().retain(is_known);
         let Some(entry) = picture.routing() else { return };
         self.upstreams.borrow_mut().set_cold_rates(entry.value.services.iter());
         let mut table = self.table.borrow_mut();
@@ -295,26 +295,26 @@
         }
         *table = Some(Rc::new(RouteTable::new(std::sync::Arc::clone(&entry.value))));
         let names = |name: &str| entry.value.routes.iter().any(|route| route.name == name);
-        self.splits.borrow_mut().retain(names);
+        self.split_table.borrow_mut().retain(names);
     }
 }
 
 /// Health checks for requests that nobody schedules.
 fn own_asks(settings: &Settings) -> PerSecond {
-    PerSecond(settings.limits.asks.0 * (1.0 - SCHEDULER_PROBE_SHARE - LOCAL_ZONE_PROBE_SHARE))
+    PerSecond(settings.limits.probes.0 * (1.0 - SCHEDULER_PROBE_SHARE - LOCAL_ZONE_PROBE_SHARE))
 }
 
 /// Health checks for requests that go to an idle upstream of the own availability zone.
 fn neighbours_asks(settings: &Settings) -> PerSecond {
-    PerSecond(settings.limits.asks.0 * LOCAL_ZONE_PROBE_SHARE)
+    PerSecond(settings.limits.probes.0 * LOCAL_ZONE_PROBE_SHARE)
 }
 
 /// Health checks for requests that this host schedules.
 fn schedulers_asks(settings: &Settings) -> PerSecond {
-    PerSecond(settings.limits.asks.0 * SCHEDULER_PROBE_SHARE)
+    PerSecond(settings.limits.probes.0 * SCHEDULER_PROBE_SHARE)
 }
 
 /// A span of the clock type as the runtime's.
-pub fn duration(span_ms: Millis) -> Duration {
+pub fn to_duration(span_ms: Millis) -> Duration {
     Duration::from_millis(span_ms.0)
 }
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -161,12 +161,12 @@
 }
 
 fn metrics(host: &Host) -> (u16, &'static str, String) {
-    host.metrics.note_state(&StateFigures {
+    host.metrics.record_state(&StateFigures {
         source_calls: host.source_calls.get(),
         log_lines_dropped: host.log.dropped(),
         open_requests: host.open_requests.get() as u64,
         quarantined: host.quarantine.borrow().count_held(host.now_ms()) as u64,
-        evacuated_zones: host.picture().evacuations().in_force().count() as u64,
+        evacuated_zones: host.published_state().evacuations().in_force().count() as u64,
         cold_upstreams: host.upstreams.borrow().count_cold(host.now_ms()) as u64,
         limited_upstreams: host.upstreams.borrow().backpressure().count_limited() as u64,
         backing_off: host
@@ -176,8 +176,8 @@
             .upstreams_in_backoff(host.now_ms())
             .count() as u64,
         leaving_upstreams: host.upstreams.borrow().backpressure().count_leaving() as u64,
-        unread_marks: host.unread.borrow().count_names() as u64,
-        picture_age: host.picture_age_ms().map(crate::host::duration),
+        unread_marks: host.unread_headers.borrow().count_names() as u64,
+        picture_age: host.state_age_ms().map(crate::host::to_duration),
     });
     (200, "text/plain; version=0.0.4", host.metrics.render())
 }
@@ -193,7 +193,7 @@
 
 fn state(host: &Host) -> (u16, &'static str, String) {
     let now_ms = host.now_ms();
-    let picture = host.picture();
+    let picture = host.published_state();
     let upstreams = host.upstreams.borrow();
     let dump_upstream = |entry: &Entry<Arc<Upstream>>| {
         let known = upstreams.get(&entry.value.id)?;
@@ -218,7 +218,7 @@
         is_partial: host.is_partial(),
         is_stopping: host.is_stopping(),
         open_requests: host.open_requests.get(),
-        hosts: host.hosts(),
+        hosts: host.host_count(),
         evacuated_zones: evacuated_zones(&picture),
         routing_version: picture.routing().map(|entry| entry.value.version.to_string()),
         revision: picture.revision(),
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -11,7 +11,7 @@
 
 use crate::backpressure;
 use crate::event_log::LogEvent;
-use crate::host::{ACCEPT_PAUSE, Host, duration};
+use crate::host::{ACCEPT_PAUSE, Host, to_duration};
 use crate::placement;
 use crate::quarantine;
 use codec::{CodecError, Datagram};
@@ -68,7 +68,7 @@
     }
 
     /// Has the host's gossip decide, and carries out what it decided.
-    pub fn act(self: &Rc<Peers>, decide: impl FnOnce(&mut Gossip) -> Vec<Effect>) {
+    pub fn run_gossip(self: &Rc<Peers>, decide: impl FnOnce(&mut Gossip) -> Vec<Effect>) {
         let effects = decide(&mut self.host.gossip.borrow_mut());
         for effect in effects {
             self.carry_out(effect);
@@ -76,7 +76,7 @@
     }
 
     /// Joins through the seeds, then greets them and the peers; never ends.
-    pub async fn greet(self: Rc<Peers>) {
+    pub async fn send_hello(self: Rc<Peers>) {
         let mut next_join = FIRST_JOINS;
         loop {
             let seeds = self.seed_addresses();
@@ -88,10 +88,10 @@
                 false => GREETINGS,
             };
             if is_joining {
-                self.act(|gossip| gossip.join(&seeds));
+                self.run_gossip(|gossip| gossip.join(&seeds));
                 next_join = (next_join * 2).min(LAST_JOINS);
             } else {
-                self.act(|gossip| gossip.send_hello(&seeds));
+                self.run_gossip(|gossip| gossip.send_hello(&seeds));
             }
             let jitter = self.host.rng.borrow_mut().random_range(GREETING_JITTER);
             clock::sleep(pause.mul_f64(jitter)).await;
@@ -107,7 +107,7 @@
     }
 
     /// Takes datagrams; never ends.
-    pub async fn listen(self: Rc<Peers>) {
+    pub async fn receive(self: Rc<Peers>) {
         let mut buffer = vec![0; LARGEST_DATAGRAM_BYTES];
         loop {
             match self.socket.recv_from(&mut buffer).await {
@@ -119,7 +119,7 @@
     }
 
     /// Tells peers that ask for it what they lack; never ends.
-    pub async fn give(self: Rc<Peers>, listener: TcpListener) {
+    pub async fn serve_fetches(self: Rc<Peers>, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
@@ -139,16 +139,16 @@
         match codec::decode(datagram) {
             Ok(Datagram::Gossip(message)) => {
                 let now_ms = self.host.now_ms();
-                self.act(|gossip| gossip.handle_message(now_ms, message, from));
+                self.run_gossip(|gossip| gossip.handle_message(now_ms, message, from));
             }
             Ok(Datagram::Quarantine(message)) => {
                 if quarantine::handle_message(&self.host, message, from) {
-                    self.act(|gossip| gossip.acknowledge_relay(from));
+                    self.run_gossip(|gossip| gossip.acknowledge_relay(from));
                 }
             }
             Ok(Datagram::Backpressure(message)) => {
                 if backpressure::handle_message(&self.host, message, from) {
-                    self.act(|gossip| gossip.acknowledge_relay(from));
+                    self.run_gossip(|gossip| gossip.acknowledge_relay(from));
                 }
             }
             Ok(Datagram::Placement(message)) => {
@@ -162,12 +162,12 @@
     }
 
     fn carry_out(self: &Rc<Peers>, effect: Effect) {
-        let hosts = self.host.hosts();
+        let hosts = self.host.host_count();
         match effect {
             Effect::Send { message, to } => self.send(&message, &to),
             Effect::Fetch(fetch) => self.fetch(fetch),
             Effect::StateUpdated { state_changes, from } => {
-                self.host.picture_changed(&state_changes, from.as_str());
+                self.host.apply_state_changes(&state_changes, from.as_str());
             }
             Effect::FetchEnded { from, revision, is_full } => {
                 let peer = from.as_str();
@@ -181,10 +181,10 @@
                 self.host.log.write(&LogEvent::PeersHeard { count, first, hosts });
             }
             Effect::AnnounceJoined { delay_ms } => {
-                self.act_later(delay_ms, Gossip::announce_joined)
+                self.run_gossip_later(delay_ms, Gossip::announce_joined)
             }
             Effect::AnswerPendingJoins { delay_ms } => {
-                self.act_later(delay_ms, Gossip::answer_pending_joins)
+                self.run_gossip_later(delay_ms, Gossip::answer_pending_joins)
             }
             Effect::PeerRemoved(peer) => {
                 self.host.log.write(&LogEvent::PeerGone { peer: &peer, hosts });
@@ -204,26 +204,26 @@
         self.host.placement.send_to_peers(&self.host.metrics, &datagram, to);
     }
 
-    fn act_later(
+    fn run_gossip_later(
         self: &Rc<Peers>,
         after_ms: Millis,
         decide: fn(&mut Gossip, Millis) -> Vec<Effect>,
     ) {
         let peers = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            clock::sleep(duration(after_ms)).await;
+            clock::sleep(to_duration(after_ms)).await;
             let now_ms = peers.host.now_ms();
-            peers.act(|gossip| decide(gossip, now_ms));
+            peers.run_gossip(|gossip| decide(gossip, now_ms));
         });
     }
 
     fn fetch(self: &Rc<Peers>, fetch: Fetch) {
         let peers = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            clock::sleep(duration(fetch.delay_ms)).await;
+            clock::sleep(to_duration(fetch.delay_ms)).await;
             let answer = fetch::fetch(&fetch).await;
             let now_ms = peers.host.now_ms();
-            peers.act(|gossip| gossip.finish_fetch(now_ms, fetch, answer));
+            peers.run_gossip(|gossip| gossip.finish_fetch(now_ms, fetch, answer));
         });
     }
 
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -118,7 +118,7 @@
     pub fn send_to_peers(&self, metrics: &Metrics, datagram: &[u8], to: &[SocketAddr]) {
         for &address in to {
             if self.socket.try_send_to(datagram, address).is_ok() {
-                metrics.told_peers(datagram.len());
+                metrics.peer_bytes_sent(datagram.len());
             }
         }
     }
@@ -148,7 +148,7 @@
     let (replies, mut received) = mpsc::unbounded_channel();
     host.placement.pending.borrow_mut().insert(ticket, replies);
     let guard = PlacementGuard::new(host, ticket, &scheduler);
-    let lends_rate_share = host.rates.borrow_mut().lend(host.now_ms(), &cell, &scheduler.host);
+    let lends_rate_share = host.rate_limiter.borrow_mut().lend(host.now_ms(), &cell, &scheduler.host);
     let submission = Submission { lends_rate_share, ..submission(ticket, cell.clone()) };
     guard.send(PlacementMessage::Submit(submission));
     let mut longest = FIRST_REPLY;
--- a/crates/gateway/src/placement/scheduling.rs
+++ b/crates/gateway/src/placement/scheduling.rs
@@ -36,7 +36,7 @@
     host: &Rc<Host>,
     decide: impl FnOnce(&mut SchedulerSet, Millis, &mut UpstreamSet, &mut Pcg64Mcg) -> Vec<Effect>,
 ) {
-    host.placement.schedulers.borrow_mut().set_fleet(host.rate_fleet());
+    host.placement.schedulers.borrow_mut().set_fleet(host.fleet_sharing_rates());
     let effects = decide(
         &mut host.placement.schedulers.borrow_mut(),
         host.now_ms(),
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -108,7 +108,7 @@
         let part = (PROBES_PER_ROUND, ZoneScope::Local);
         let pool = host.pool.borrow();
         let is_connected = |id: &UpstreamId| pool.holds(id);
-        let held_back = host.held_back(&upstreams, service);
+        let held_back = host.rate_limited_upstreams(&upstreams, service);
         let now_ms = host.now_ms();
         let near = upstreams.choose_probe_targets(
             now_ms,
@@ -146,7 +146,8 @@
     let is_connected = |id: &UpstreamId| pool.holds(id);
     let now_ms = host.now_ms();
     // Upstreams held back now may be probed in a later round.
-    let mut left_out = [excluded.clone(), host.held_back(&upstreams, service)].concat();
+    let mut left_out =
+        [excluded.clone(), host.rate_limited_upstreams(&upstreams, service)].concat();
     let mut candidates = Vec::new();
     for &part in round {
         let next = upstreams.choose_probe_targets(
--- a/crates/gateway/src/probe/health_check.rs
+++ b/crates/gateway/src/probe/health_check.rs
@@ -2,7 +2,7 @@
 
 use crate::backpressure;
 use crate::connection::{Connection, Expected};
-use crate::event_log::{AnswerTo, LogEvent};
+use crate::event_log::{LogEvent, ResponseTo};
 use crate::host::Host;
 use crate::http1::HeadFields;
 use dispatch::backpressure::ResponseKind;
@@ -71,9 +71,9 @@
 ) -> bool {
     let (upstreams, fleet) = (host.upstreams.borrow(), host.fleet_size());
     let (budget, sharing) = match budget {
-        ProbeBudgetKind::Own => (&host.asks, upstreams.probing_hosts(service, upstream, fleet)),
+        ProbeBudgetKind::Own => (&host.probe_budget, upstreams.probing_hosts(service, upstream, fleet)),
         ProbeBudgetKind::LocalZone => {
-            (&host.neighbours_asks, upstreams.probing_hosts_in_zone(service, fleet))
+            (&host.zone_probe_budget, upstreams.probing_hosts_in_zone(service, fleet))
         }
     };
     budget.borrow_mut().try_spend(host.now_ms(), upstream, sharing)
@@ -133,7 +133,7 @@
 ) -> Result<Connection, ProbeFailure> {
     let entry = host.upstreams.borrow().get(upstream).map(|known| Arc::clone(&known.entry));
     let entry = entry.ok_or(ProbeFailure::Unreachable)?;
-    host.metrics.connected();
+    host.metrics.connection_opened();
     let connection = Connection::open(entry.address, CONNECT_LIMIT).await;
     connection.map(|open| open.belonging_to(entry.run)).map_err(|_| ProbeFailure::Unreachable)
 }
@@ -152,13 +152,13 @@
     (upstream, run): (&UpstreamId, RunStart),
     path: &str,
 ) -> Result<bool, ProbeFailure> {
-    host.metrics.asked();
+    host.metrics.probe_sent();
     let request = format!("GET {path} HTTP/1.1\r\nhost: upstream\r\n\r\n");
     let id = Some((host.dialect.request_id, ""));
     let expected = Expected { has_body: true, id, read_timeouts: None };
     let answer = connection.exchange(request.as_bytes(), expected).await;
     let answer = answer.map_err(|_| ProbeFailure::Unreachable)?;
-    host.note_unread(upstream, &answer.head.fields, AnswerTo::HealthCheck);
+    host.log_unread_headers(upstream, &answer.head.fields, ResponseTo::HealthCheck);
     let is_other = |id: &str| id != upstream.as_str();
     if answer.head.fields.get(host.dialect.upstream).is_some_and(is_other) {
         return Err(ProbeFailure::OtherUpstream);
@@ -174,7 +174,7 @@
 
 /// The load that a response reports, if any.
 pub fn read_load(host: &Host, fields: &HeadFields) -> Option<LoadReport> {
-    fields.get(host.dialect.load).and_then(host.dialect.read_load)
+    fields.get(host.dialect.load).and_then(host.dialect.parse_load)
 }
 
 /// Records a load report of a run of an upstream.
@@ -191,7 +191,7 @@
     let left_ms = stated.and_then(|text| text.parse().ok()).map(Millis);
     if stated.is_some() && left_ms.is_none() {
         let value = stated.unwrap_or_default();
-        return host.note_unreadable(upstream, host.dialect.cold_ms, value.as_bytes());
+        return host.log_malformed_header(upstream, host.dialect.cold_ms, value.as_bytes());
     }
     host.upstreams.borrow_mut().record_warmup_left(host.now_ms(), upstream_run, left_ms);
 }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -87,7 +87,7 @@
     fn drop(&mut self) {
         self.host.open_requests.set(self.host.open_requests.get().saturating_sub(1));
         if !self.is_answered {
-            self.host.metrics.caller_gone();
+            self.host.metrics.caller_hung_up();
             self.host.log.write(&LogEvent::CallerGone {
                 id: &self.id,
                 after_ms: self.host.now_ms().since(self.arrived_ms),
@@ -140,14 +140,14 @@
     request: &Request,
     progress: &RequestProgress,
 ) {
-    host.metrics.refused(route, refusal.cause);
+    host.metrics.request_refused(route, refusal.cause);
     host.log.write(&LogEvent::Refused {
         id,
         status: refusal.cause.status(),
         refusal,
         after_ms: host.now_ms().since(request.arrived_ms),
         sendings: progress.attempts.get(),
-        picture_age_ms: host.picture_age_ms(),
+        picture_age_ms: host.state_age_ms(),
     });
 }
 
@@ -166,7 +166,7 @@
     let matched = matched.ok_or(Refusal::not_run(Cause::NoRoute))?;
     let service = next_service(host, &matched.route)?;
     let now_ms = host.now_ms();
-    host.repeats.borrow_mut().record_request(now_ms, &service, host.hosts());
+    host.retry_budget.borrow_mut().record_request(now_ms, &service, host.host_count());
     let arrived_ms = request.arrived_ms;
     let stated_ms = request.header_ms(host.dialect.deadline_ms);
     let deadline_ms = stated_ms.map_or(Millis::MAX, |stated_ms| arrived_ms + stated_ms);
@@ -177,7 +177,7 @@
         service: &service,
         routing: matched.version,
         left_ms: end_ms.since(now_ms),
-        picture_age_ms: host.picture_age_ms(),
+        picture_age_ms: host.state_age_ms(),
     });
     Ok(RoutedRequest {
         host: Rc::clone(host),
--- a/crates/gateway/src/serve/admission.rs
+++ b/crates/gateway/src/serve/admission.rs
@@ -13,7 +13,7 @@
     /// request if it is quarantined.
     pub(super) async fn wait_for_trial(&self, counts: &AttemptCounts) -> Result<(), Refusal> {
         loop {
-            let news = self.host.quarantine_news.notified();
+            let news = self.host.quarantine_changed.notified();
             let for_ms = match self.admission() {
                 Admission::Free | Admission::Trial => return Ok(()),
                 Admission::Held { for_ms } => return Err(quarantine_refusal(for_ms, counts)),
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -6,7 +6,7 @@
 use super::{Reply, RoutedRequest};
 use crate::backpressure;
 use crate::connection::{Connection, ExchangeError, Expected, Response};
-use crate::event_log::{AnswerTo, LogEvent};
+use crate::event_log::{LogEvent, ResponseTo};
 use crate::http1::write_request;
 use crate::probe;
 use crate::quarantine::{self, BrokenOff};
@@ -121,7 +121,7 @@
             .set(self.route().idempotency == Idempotency::AtMostOnce);
         self.log_attempt(&selected, now_ms, counts.sent);
         if selected.placement.is_none() {
-            self.host.note_sent_rated(&selected.upstream);
+            self.host.record_rated_send(&selected.upstream);
         }
         let guard = AttemptGuard::begin(&self.host, &selected.upstream, selected.placement.take());
         let bytes = self.encode(&selected.upstream, now_ms);
@@ -129,7 +129,7 @@
     }
 
     fn log_attempt(&self, selected: &Selected, now_ms: Millis, sending: u32) {
-        self.host.metrics.sent(sending > 1);
+        self.host.metrics.attempt_sent(sending > 1);
         let (is_other_zone, warmth) = {
             let upstreams = self.host.upstreams.borrow();
             let known = upstreams.get(&selected.upstream);
@@ -189,7 +189,7 @@
         };
         let fields = answer.as_ref().map(|answer| &answer.head.fields);
         if let Some(fields) = fields {
-            self.host.note_unread(&upstream, fields, AnswerTo::Request);
+            self.host.log_unread_headers(&upstream, fields, ResponseTo::Request);
         }
         let report = fields.and_then(|fields| probe::read_load(&self.host, fields));
         let backpressure = match (&answer, end) {
--- a/crates/gateway/src/serve/attempt_end.rs
+++ b/crates/gateway/src/serve/attempt_end.rs
@@ -4,7 +4,7 @@
 use super::{Reply, RoutedRequest};
 use crate::connection::Response;
 use crate::event_log::LogEvent;
-use crate::host::duration;
+use crate::host::to_duration;
 use dispatch::AttemptFailure;
 use dispatch::attempts::{self, AttemptResult, AttemptState, Cause, NextStep, Refusal};
 use domain::{Millis, UpstreamId};
@@ -52,7 +52,7 @@
             max_attempts: self.route().attempts,
             left_ms: self.end_ms.since(now_ms),
             is_budget_spent: uses_retry_budget
-                && self.host.repeats.borrow().remaining(self.host.now_ms(), &self.service) < 1.0,
+                && self.host.retry_budget.borrow().remaining(self.host.now_ms(), &self.service) < 1.0,
         };
         match (attempts::next_step(state, ended.end), ended.answer) {
             (NextStep::Deliver, Some(answer)) => {
@@ -62,7 +62,7 @@
             (NextStep::Deliver, None) => Some(Err(Refusal::may_have_run(Cause::UpstreamFailed))),
             (NextStep::Retry, answer) => {
                 if uses_retry_budget {
-                    self.host.repeats.borrow_mut().try_spend(now_ms, &self.service);
+                    self.host.retry_budget.borrow_mut().try_spend(now_ms, &self.service);
                 }
                 if let (Some(answer), true) = (answer, is_own_failure(ended.end)) {
                     *kept = Some(KeptFailure { upstream: ended.upstream, answer });
@@ -80,7 +80,11 @@
         counts: &AttemptCounts,
     ) -> Reply {
         let after_ms = self.host.now_ms().since(self.request.arrived_ms);
-        self.host.metrics.answered(&self.route().name, answer.head.status, duration(after_ms));
+        self.host.metrics.response_forwarded(
+            &self.route().name,
+            answer.head.status,
+            to_duration(after_ms),
+        );
         self.host.log.write(&LogEvent::Delivered {
             id: &self.id,
             upstream,
@@ -101,7 +105,7 @@
             after_ms: now_ms.since(ended.sent_ms),
             status: ended.answer.as_ref().map(|answer| answer.head.status),
             is_not_run: attempts::is_not_run(ended.end),
-            repeats_left: self.host.repeats.borrow().remaining(self.host.now_ms(), &self.service),
+            repeats_left: self.host.retry_budget.borrow().remaining(self.host.now_ms(), &self.service),
             fingerprint: self.fingerprint(),
             has_crashed: ended.has_crashed,
         });
--- a/crates/gateway/src/serve/attempt_guard.rs
+++ b/crates/gateway/src/serve/attempt_guard.rs
@@ -65,7 +65,7 @@
             return std::future::pending().await;
         }
         loop {
-            let news = self.host.news.notified();
+            let news = self.host.state_updated.notified();
             if self.host.upstreams.borrow().has_restarted(&self.upstream, self.run) {
                 return;
             }
--- a/crates/gateway/src/serve/selection.rs
+++ b/crates/gateway/src/serve/selection.rs
@@ -8,7 +8,7 @@
 use super::attempt::AttemptCounts;
 use crate::connection::Connection;
 use crate::event_log::{ChosenBy, LogEvent};
-use crate::host::duration;
+use crate::host::to_duration;
 use crate::placement::{self, PlacementGuard, PlacementResult};
 use crate::probe::{self, Chosen};
 use dispatch::attempts::{Cause, Refusal};
@@ -48,7 +48,7 @@
         &self,
         counts: &mut AttemptCounts,
     ) -> Result<(Selected, Connection), Refusal> {
-        let left = self.host.clock.until(self.end_ms);
+        let left = self.host.clock.time_until(self.end_ms);
         match clock::timeout(left, self.select(counts)).await {
             Ok(selected) => selected,
             Err(_) => Err(deadline_refusal(counts)),
@@ -249,7 +249,7 @@
                 Verdict::Send => return Ok(Some(self.selected_by_probe(chosen, begun_ms))),
                 Verdict::ProbeAgain(pause_ms) => {
                     chosen.put_back(&self.host);
-                    clock::sleep(duration(pause_ms)).await;
+                    clock::sleep(to_duration(pause_ms)).await;
                 }
                 Verdict::Refuse => return Err(Refusal::not_run(Cause::Overloaded)),
             }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -136,7 +136,7 @@
         published.write_routing(routing(2));
         published.fail(None);
         until("it is in force", || hosts.iter().all(|h| version(h) == Some(Version(2)))).await;
-        let log: String = hosts.iter().map(|h| h.host().log.take_waiting()).collect();
+        let log: String = hosts.iter().map(|h| h.host().log.take_buffered()).collect();
         assert!(log.contains("\"event\":\"source-lost\""), "{log}");
         assert!(log.contains("\"event\":\"source-regained\""), "{log}");
     });
@@ -197,8 +197,8 @@
             assert!(matches!(got.status, 200 | 504), "{got:?}");
         };
         tokio::join!(stopping, asking);
-        assert_eq!(leaving.host().open_sessions.get(), 0);
-        until("the other knows", || staying.host().hosts() == 1).await;
+        assert_eq!(leaving.host().open_caller_connections.get(), 0);
+        until("the other knows", || staying.host().host_count() == 1).await;
     });
 }
 
@@ -210,7 +210,7 @@
         let digests: Vec<u64> = hosts.iter().map(|h| h.host().members().digest()).collect();
         assert!(digests.windows(2).all(|pair| pair[0] == pair[1]), "{digests:?}");
         assert_eq!(hosts[0].host().fleet_size().hosts, 4);
-        assert!(hosts[0].host().picture_age_ms().unwrap() < Millis(5_000));
+        assert!(hosts[0].host().state_age_ms().unwrap() < Millis(5_000));
     });
 }
 
@@ -224,7 +224,7 @@
         let gateway = start(settings, &published).await;
         let got = Caller::connect(callers(&gateway)).await.ask(&get("/any/x", "id-1")).await;
         assert_eq!(got.status, 200);
-        let log = gateway.host().log.take_waiting();
+        let log = gateway.host().log.take_buffered();
         assert!(log.contains("\"event\":\"no-metrics\""), "{log}");
     });
 }
--- a/crates/gateway/tests/scheduling.rs
+++ b/crates/gateway/tests/scheduling.rs
@@ -23,7 +23,7 @@
 
 /// Who chose an upstream for each request that is in the log.
 fn chosen_by(gateway: &Gateway) -> Vec<String> {
-    let log = gateway.host().log.take_waiting();
+    let log = gateway.host().log.take_buffered();
     let chosen = log.lines().filter(|line| line.contains("\"event\":\"chosen\""));
     let by = |line: &str| {
         let line: serde_json::Value = serde_json::from_str(line).unwrap();
@@ -116,7 +116,7 @@
         let (gateway, _) = ready(&[&upstream]).await;
         let silent = silent_scheduler(&gateway);
         introduce(&gateway, silent.clone());
-        until("it is heard of", || gateway.host().hosts() == 2).await;
+        until("it is heard of", || gateway.host().host_count() == 2).await;
         let mut caller = Caller::connect(callers(&gateway)).await;
         for round in 0..3 {
             let got = caller.ask(&post("/once/x", &format!("id-{round}"), "{}")).await;
@@ -128,7 +128,8 @@
         assert_eq!(upstream.seen().len(), 3);
         // A new run of it is trusted again.
         introduce(&gateway, Member { incarnation: Incarnation(2), ..silent });
-        until("it is heard of", || gateway.host().log.take_waiting().contains("peers-heard")).await;
+        until("it is heard of", || gateway.host().log.take_buffered().contains("peers-heard"))
+            .await;
         assert_eq!(caller.ask(&post("/once/x", "id-3", "{}")).await.status, 200);
         assert_eq!(chosen_by(&gateway), ["asking"]);
     });
@@ -173,7 +174,7 @@
         assert_eq!(chosen_by(other), [name(scheduler)]);
         let stopping = scheduler.stop();
         let asking = async {
-            until("its farewell is heard", || other.host().hosts() == 1).await;
+            until("its farewell is heard", || other.host().host_count() == 1).await;
             let got = caller.ask(&post("/once/x", "id-1", "{}")).await;
             assert_eq!((got.status, chosen_by(other)), (200, vec![name(other)]));
         };
