--- a/crates/dispatch/tests/backoff.rs
+++ b/crates/dispatch/tests/backoff.rs
@@ -5,9 +5,9 @@
 
 use dispatch::LoadReport;
 use dispatch::UpstreamSet;
-use dispatch::backpressure::{AnswerKind, Backpressure};
+use dispatch::backpressure::{Backpressure, ResponseKind};
 use dispatch::scheduler::{
-    Asker, Effect, PlacementMessage, RefusalCause, SchedulerSet, Submission, Ticket,
+    Effect, PlacementMessage, RefusalCause, Requester, SchedulerSet, Submission, Ticket,
 };
 use domain::{Millis, PerSecond, UpstreamId};
 use published::{Evacuations, RunStart};
@@ -25,15 +25,15 @@
 }
 
 fn left(set: &UpstreamSet, after_ms: u64) -> Option<u64> {
-    set.backs_off(NOW + Millis(after_ms), &id("i-1")).map(|left_ms| left_ms.0)
+    set.remaining_backoff(NOW + Millis(after_ms), &id("i-1")).map(|left_ms| left_ms.0)
 }
 
 /// What an upstream answers, and after how long.
 #[derive(Debug, Clone, Copy)]
-struct Told(u64, AnswerKind, Option<u64>);
+struct Told(u64, ResponseKind, Option<u64>);
 
-const SERVED: AnswerKind = AnswerKind::Served;
-const FAILED: AnswerKind = AnswerKind::Failed;
+const SERVED: ResponseKind = ResponseKind::Served;
+const FAILED: ResponseKind = ResponseKind::Failed;
 
 #[rstest]
 #[case::never(&[Told(0, FAILED, None)], None)]
@@ -51,7 +51,7 @@
     let mut set = set(&[entry("i-1", "kariakoo")]);
     for Told(after_ms, kind, backoff_ms) in told {
         let (at_ms, said) = (NOW + Millis(*after_ms), asks_for(*backoff_ms));
-        set.note_backpressure(at_ms, (&id("i-1"), RUN), *kind, said);
+        set.record_backpressure(at_ms, (&id("i-1"), RUN), *kind, said);
     }
     assert_eq!(left(&set, 500), wanted);
 }
@@ -62,13 +62,13 @@
     let mut note = |after_ms| {
         let at = (&id("i-1"), RUN);
         let changed =
-            set.note_backpressure(NOW + Millis(after_ms), at, FAILED, asks_for(Some(900)));
+            set.record_backpressure(NOW + Millis(after_ms), at, FAILED, asks_for(Some(900)));
         changed.and_then(|changed| changed.backoff_ms)
     };
     assert_eq!(note(0), Some(Millis(900)));
     assert_eq!(note(10), None);
     assert_eq!(note(2_000), Some(Millis(900)));
-    assert!(!set.backpressure().is_untold());
+    assert!(!set.backpressure().has_pending());
     assert_eq!(set.backpressure().digest(), 0);
 }
 
@@ -76,7 +76,7 @@
 fn a_run_that_begins_is_not_the_one_that_asked() {
     let mut set = set(&[of_run("i-1", 100)]);
     let run = RunStart(Some(Millis(100)));
-    set.note_backpressure(NOW, (&id("i-1"), run), FAILED, asks_for(Some(3_000)));
+    set.record_backpressure(NOW, (&id("i-1"), run), FAILED, asks_for(Some(3_000)));
     assert_eq!(left(&set, 0), Some(3_000));
     set.sync(NOW, [of_run("i-1", 200)].iter(), &Evacuations::default());
     assert_eq!(left(&set, 0), None);
@@ -85,7 +85,7 @@
 #[test]
 fn an_entry_that_lapses_and_is_back_is_still_left_alone() {
     let mut set = set(&[entry("i-1", "kariakoo")]);
-    set.note_backpressure(NOW, (&id("i-1"), RUN), FAILED, asks_for(Some(9_000)));
+    set.record_backpressure(NOW, (&id("i-1"), RUN), FAILED, asks_for(Some(9_000)));
     set.sync(NOW, [].iter(), &Evacuations::default());
     set.forget_backpressure(NOW + Millis(2_000));
     set.sync(NOW, [entry("i-1", "kariakoo")].iter(), &Evacuations::default());
@@ -99,9 +99,9 @@
     let names = ["i-1", "i-2"];
     let mut set = set(&names.map(|name| entry(name, "kariakoo")));
     for (name, backoff_ms) in names.iter().zip(asked) {
-        set.note_backpressure(NOW, (&id(name), RUN), FAILED, asks_for(*backoff_ms));
+        set.record_backpressure(NOW, (&id(name), RUN), FAILED, asks_for(*backoff_ms));
     }
-    let free_in = set.free_in(NOW, &"parts".parse().unwrap());
+    let free_in = set.next_request_in(NOW, &"parts".parse().unwrap());
     assert_eq!(free_in, wanted.map(Millis));
 }
 
@@ -128,16 +128,22 @@
 
     fn tell(&mut self, upstream: &str, (running, waiting, slowness): (u32, u32, u32)) {
         let told: LoadReport = report(running, waiting, slowness);
-        self.upstreams.note_report(self.now_ms, (&id(upstream), RUN), told);
+        self.upstreams.record_report(self.now_ms, (&id(upstream), RUN), told);
     }
 
     fn take(&mut self, host: u16, message: PlacementMessage) -> Vec<Effect> {
-        let asker = Asker::Peer(([127, 0, 0, 1], host).into());
-        self.schedulers.take(self.now_ms, message, asker, &mut self.upstreams, &mut self.rng)
+        let requester = Requester::Peer(([127, 0, 0, 1], host).into());
+        self.schedulers.handle_message(
+            self.now_ms,
+            message,
+            requester,
+            &mut self.upstreams,
+            &mut self.rng,
+        )
     }
 
     fn turn(&mut self) -> Vec<Effect> {
-        self.schedulers.turn(self.now_ms, &mut self.upstreams, &mut self.rng)
+        self.schedulers.schedule(self.now_ms, &mut self.upstreams, &mut self.rng)
     }
 
     fn submit(&mut self, host: u16, backing_off: &[&str]) -> (Ticket, Vec<Effect>) {
@@ -152,7 +158,7 @@
 /// When the caller of a refused request is to come back.
 fn refused_for(effects: &[Effect], wanted: Ticket) -> Option<u64> {
     effects.iter().find_map(|effect| match effect {
-        Effect::Tell { message: PlacementMessage::Refused { ticket, cause }, .. }
+        Effect::Send { message: PlacementMessage::Refused { ticket, cause }, .. }
             if *ticket == wanted =>
         {
             match cause {
@@ -166,8 +172,8 @@
 
 fn placed(effects: &[Effect]) -> Option<UpstreamId> {
     effects.iter().find_map(|effect| match effect {
-        Effect::Tell { message: PlacementMessage::Placed { place, .. }, .. } => {
-            Some(place.upstream.clone())
+        Effect::Send { message: PlacementMessage::Placed { placement, .. }, .. } => {
+            Some(placement.upstream.clone())
         }
         _ => None,
     })
@@ -193,7 +199,7 @@
     let cause = RefusalCause::NoUpstream;
     let refused = PlacementMessage::Refused { ticket, cause };
     let is_told =
-        |effect: &Effect| matches!(effect, Effect::Tell { message, .. } if *message == refused);
+        |effect: &Effect| matches!(effect, Effect::Send { message, .. } if *message == refused);
     assert!(effects.iter().any(is_told), "{effects:?}");
 }
 
@@ -203,7 +209,7 @@
 fn where_a_rate_is_all_there_is_nobody_waits_in_vain() {
     let mut play = Play::new(&["i-1"]);
     let limited = Backpressure { rate_limit: Some(PerSecond(2.0)), ..Backpressure::default() };
-    play.upstreams.note_backpressure(NOW, (&id("i-1"), RUN), SERVED, limited);
+    play.upstreams.record_backpressure(NOW, (&id("i-1"), RUN), SERVED, limited);
     let at = |play: &mut Play, after_ms: u64| {
         play.now_ms = NOW + Millis(after_ms);
         play.tell("i-1", IDLE);
--- a/crates/gateway/src/backpressure.rs
+++ b/crates/gateway/src/backpressure.rs
@@ -9,10 +9,10 @@
 use crate::host::Host;
 use crate::http1::{HeadFields, ResponseHead};
 use crate::peers::codec::Datagram;
-use dispatch::attempts::{self, Answered};
+use dispatch::attempts::{self, ResponseSummary};
 use dispatch::backpressure::{
-    AnswerKind, Backpressure, BackpressureChange, BackpressureMessage, LONGEST_BACKOFF_MS,
-    ToldBackpressure,
+    Backpressure, BackpressureChange, BackpressureMessage, BackpressureUpdate, LONGEST_BACKOFF_MS,
+    ResponseKind,
 };
 use domain::{Millis, PerSecond, UpstreamId};
 use published::RunStart;
@@ -44,7 +44,7 @@
     host: &Host,
     upstream: &UpstreamId,
     head: &ResponseHead,
-    answered: Answered,
+    answered: ResponseSummary,
 ) -> Backpressure {
     let is_from_upstream = answered.is_sealed || answered.not_run || attempts::is_final(answered);
     if !is_from_upstream || answered.status == MISDIRECTED {
@@ -70,7 +70,7 @@
         b"1" => true,
         b"0" => false,
         other => {
-            host.note_unreadable(upstream, header, other);
+            host.log_malformed_header(upstream, header, other);
             false
         }
     })
@@ -100,7 +100,7 @@
     fields.all(header).filter_map(move |value| {
         let number = read_decimal(value);
         if number.is_none() {
-            host.note_unreadable(upstream, header, value);
+            host.log_malformed_header(upstream, header, value);
         }
         number
     })
@@ -118,19 +118,20 @@
 pub fn record(
     host: &Rc<Host>,
     at: (&UpstreamId, RunStart),
-    kind: AnswerKind,
+    kind: ResponseKind,
     stated: Backpressure,
 ) {
     let now_ms = host.now_ms();
-    let changed = host.upstreams.borrow_mut().note_backpressure(now_ms, at, kind, stated);
+    let changed = host.upstreams.borrow_mut().record_backpressure(now_ms, at, kind, stated);
     log_changes(host, changed, "upstream");
-    if host.upstreams.borrow().backpressure().is_untold() && !host.tells_backpressure.replace(true)
+    if host.upstreams.borrow().backpressure().has_pending()
+        && !host.is_backpressure_broadcast_due.replace(true)
     {
         let host = Rc::clone(host);
         tokio::task::spawn_local(async move {
             let share = host.rng.borrow_mut().random::<f64>();
             clock::sleep(SEND_WITHIN.mul_f64(share)).await;
-            host.tells_backpressure.set(false);
+            host.is_backpressure_broadcast_due.set(false);
             send_to_fleet(&host).await;
         });
     }
@@ -142,16 +143,16 @@
     host.upstreams.borrow_mut().forget_backpressure(host.now_ms());
     let digest = host.upstreams.borrow().backpressure().digest();
     if digest != 0 {
-        let offer = Datagram::Backpressure(BackpressureMessage::Offer { digest });
-        fleet_message::tell_some(host, &offer, 1);
+        let offer = Datagram::Backpressure(BackpressureMessage::Digest { digest });
+        fleet_message::send_to_random_peers(host, &offer, 1);
     }
 }
 
 /// Called when peers become known: after a start, asks them for what upstreams stated before.
 pub fn catch_up_after_start(host: &Host) {
-    let asked = host.backpressure_asks.get();
-    if asked < fleet_message::START_ASKS {
-        host.backpressure_asks.set(asked + 1);
+    let asked = host.backpressure_requests_sent.get();
+    if asked < fleet_message::START_REQUESTS {
+        host.backpressure_requests_sent.set(asked + 1);
         request_from_peers(host);
     }
 }
@@ -159,32 +160,32 @@
 /// Asks some peers for what this host missed before its start or while it was suspended.
 pub fn request_from_peers(host: &Host) {
     let digest = host.upstreams.borrow().backpressure().digest();
-    let ask = Datagram::Backpressure(BackpressureMessage::Ask { digest });
-    fleet_message::ask_some(host, &ask);
+    let ask = Datagram::Backpressure(BackpressureMessage::Request { digest });
+    fleet_message::request_from_random_peers(host, &ask);
 }
 
 /// Handles a peer's message; true if the peer is to be told that this host is up.
 pub fn handle_message(host: &Host, message: BackpressureMessage, from: SocketAddr) -> bool {
     let own_digest = host.upstreams.borrow().backpressure().digest();
     match message {
-        BackpressureMessage::Stated { told, passes_on } => {
-            if passes_on {
-                fleet_message::pass_on(host, &stated_message(told.clone(), false));
+        BackpressureMessage::Update { updates, should_relay } => {
+            if should_relay {
+                fleet_message::forward_in_zone(host, &stated_message(updates.clone(), false));
             }
             let now_ms = host.now_ms();
-            let changed = host.upstreams.borrow_mut().take_backpressure(now_ms, told);
+            let changed = host.upstreams.borrow_mut().merge_backpressure(now_ms, updates);
             log_changes(host, changed, "peer");
-            return passes_on;
+            return should_relay;
         }
-        BackpressureMessage::Offer { digest } if digest != own_digest => {
-            let ask = BackpressureMessage::Ask { digest: own_digest };
+        BackpressureMessage::Digest { digest } if digest != own_digest => {
+            let ask = BackpressureMessage::Request { digest: own_digest };
             fleet_message::send(host, &Datagram::Backpressure(ask), &[from]);
         }
-        BackpressureMessage::Ask { digest } if digest != own_digest => {
-            let told = host.upstreams.borrow().backpressure().tell(host.now_ms());
-            fleet_message::send(host, &stated_message(told, false), &[from]);
+        BackpressureMessage::Request { digest } if digest != own_digest => {
+            let updates = host.upstreams.borrow().backpressure().export(host.now_ms());
+            fleet_message::send(host, &stated_message(updates, false), &[from]);
         }
-        BackpressureMessage::Offer { .. } | BackpressureMessage::Ask { .. } => {}
+        BackpressureMessage::Digest { .. } | BackpressureMessage::Request { .. } => {}
     }
     false
 }
@@ -192,24 +193,24 @@
 /// Sends what peers weren't told yet, several times: a host that misses it sends one request too
 /// many.
 async fn send_to_fleet(host: &Host) {
-    let untold = host.upstreams.borrow_mut().backpressure_mut().take_untold(host.now_ms());
+    let untold = host.upstreams.borrow_mut().backpressure_mut().take_pending(host.now_ms());
     if untold.is_empty() {
         return;
     }
     let begun_ms = host.now_ms();
     for after_ms in SEND_AFTER_MS {
         host.clock.sleep_until(begun_ms + after_ms).await;
-        let later = |told: &ToldBackpressure| ToldBackpressure {
-            age_ms: told.age_ms + host.now_ms().since(begun_ms),
-            ..told.clone()
+        let later = |update: &BackpressureUpdate| BackpressureUpdate {
+            age_ms: update.age_ms + host.now_ms().since(begun_ms),
+            ..update.clone()
         };
-        let told: Vec<ToldBackpressure> = untold.iter().map(later).collect();
-        fleet_message::tell_fleet(host, |passes_on| stated_message(told.clone(), passes_on));
+        let updates: Vec<BackpressureUpdate> = untold.iter().map(later).collect();
+        fleet_message::broadcast(host, |should_relay| stated_message(updates.clone(), should_relay));
     }
 }
 
-fn stated_message(told: Vec<ToldBackpressure>, passes_on: bool) -> Datagram {
-    Datagram::Backpressure(BackpressureMessage::Stated { told, passes_on })
+fn stated_message(updates: Vec<BackpressureUpdate>, should_relay: bool) -> Datagram {
+    Datagram::Backpressure(BackpressureMessage::Update { updates, should_relay })
 }
 
 /// Logs changes for operators.
--- a/crates/gateway/src/event_log/event.rs
+++ b/crates/gateway/src/event_log/event.rs
@@ -2,13 +2,13 @@
 
 use dispatch::attempts::Refusal;
 use dispatch::backpressure::LimitChange;
-use dispatch::quarantine::Change;
+use dispatch::quarantine::SuspectStatus;
 use dispatch::scheduler::{Cell, Ticket};
-use dispatch::{AskFailure, SendFailure, Verdict, Warmth};
+use dispatch::{AttemptFailure, ProbeFailure, Verdict, Warmth};
 use domain::{
     HostId, Incarnation, Millis, RequestFingerprint, ServiceName, UpstreamId, Version, ZoneName,
 };
-use published::{Belief, Revision};
+use published::{Revision, StateChange};
 use serde::Serialize;
 
 /// How much a line matters.
@@ -50,7 +50,7 @@
     /// Something else is believed.
     Belief {
         #[serde(flatten)]
-        belief: &'a Belief,
+        belief: &'a StateChange,
         from: &'a str,
     },
     /// More changed at once than is told one by one.
@@ -127,16 +127,16 @@
     /// An upstream said in its answers that it is leaving, to this host or to a peer.
     SaysLeaving { upstream: &'a UpstreamId, from: &'a str },
     /// An upstream answered, with a mark that nothing here reads.
-    MarkUnread { upstream: &'a UpstreamId, on: AnswerTo, mark: &'a str, value: &'a str },
+    MarkUnread { upstream: &'a UpstreamId, on: ResponseTo, mark: &'a str, value: &'a str },
     /// Asking an upstream failed.
-    AskFailed { upstream: &'a UpstreamId, failure: AskFailure },
+    AskFailed { upstream: &'a UpstreamId, failure: ProbeFailure },
     /// A request left for an upstream.
     Sent { id: &'a str, upstream: &'a UpstreamId, sending: u32, left_ms: Millis },
     /// A sending failed.
     SendFailed {
         id: &'a str,
         upstream: &'a UpstreamId,
-        failure: SendFailure,
+        failure: AttemptFailure,
         after_ms: Millis,
         status: Option<u16>,
         is_not_run: bool,
@@ -147,7 +147,7 @@
     /// More or nothing speaks against a request that upstreams crashed under.
     Quarantine {
         fingerprint: RequestFingerprint,
-        change: Change,
+        change: SuspectStatus,
         crashes: usize,
         upstreams: Vec<&'a UpstreamId>,
         seen_by: Vec<&'a HostId>,
@@ -179,7 +179,7 @@
 /// What an upstream answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum AnswerTo {
+pub enum ResponseTo {
     /// A request.
     Request,
     /// A health check.
@@ -214,7 +214,7 @@
             LogEvent::Routed { .. } | LogEvent::Chosen { .. } | LogEvent::Sent { .. } => {
                 Weight::Routine
             }
-            LogEvent::Declined { verdict: Verdict::AskAgain(_), .. } => Weight::Routine,
+            LogEvent::Declined { verdict: Verdict::ProbeAgain(_), .. } => Weight::Routine,
             LogEvent::Delivered { status, after_ms, objective_ms, .. }
                 if *status < 400 && after_ms <= objective_ms =>
             {
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -12,14 +12,14 @@
 pub use caller::Caller;
 
 use crate::event_log::LogEvent;
-use crate::host::{ACCEPT_PAUSE, Host, duration};
+use crate::host::{ACCEPT_PAUSE, Host, to_duration};
 use crate::http1::{BodyProgress, BodyReader, RequestError, RequestHead, read_request};
 use crate::serve::{Reply, Request, RequestProgress, serve};
 use caller::linger;
 use clock::Moment;
 use dispatch::attempts::{Cause, Refusal};
 use domain::{ByteCount, Millis};
-use published::{CallerLimits, Repeat};
+use published::{CallerLimits, Idempotency};
 use render::{render, render_refusal};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -52,7 +52,7 @@
     request: Rc<Request>,
     progress: Rc<RequestProgress>,
     task: JoinHandle<Reply>,
-    repeat: Repeat,
+    repeat: Idempotency,
 }
 
 impl Pending {
@@ -62,7 +62,7 @@
             self.task.abort();
             return;
         }
-        host.metrics.caller_gone();
+        host.metrics.caller_hung_up();
         host.log.write(&LogEvent::CallerGone {
             id: self.request.head.fields.get(host.dialect.request_id).unwrap_or_default(),
             after_ms: host.now_ms().since(self.request.arrived_ms),
@@ -96,7 +96,7 @@
 ///
 /// Then the port is closed too: a connection that nobody would read is better refused.
 pub async fn accept(host: Rc<Host>, listener: TcpListener) {
-    let mut closing = host.closing.subscribe();
+    let mut closing = host.closing_idle.subscribe();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -132,13 +132,13 @@
         active: now,
         is_last: false,
     };
-    session.host.open_sessions.update(|open| open + 1);
+    session.host.open_caller_connections.update(|open| open + 1);
     session.run().await;
     for pending in &session.pending {
         pending.abandon(&session.host);
     }
     linger(&session.caller).await;
-    session.host.open_sessions.update(|open| open - 1);
+    session.host.open_caller_connections.update(|open| open - 1);
 }
 
 /// What a session waits for next.
@@ -205,7 +205,7 @@
     async fn wait(&mut self) -> Next {
         let is_reading = self.caller.has_room();
         let late = self.late_at();
-        let mut closing = self.host.closing.subscribe();
+        let mut closing = self.host.closing_idle.subscribe();
         let is_closing = *closing.borrow();
         if is_closing && self.is_idle() {
             return Next::Closing;
@@ -222,7 +222,7 @@
             reply = answered => match reply {
                 Ok(reply) => Next::Answered(reply),
                 // A task that failed is a fault of ours; whether the request ran is unknown.
-                Err(_) => Next::Answered(Reply::Refused(Refusal::unknown(Cause::UpstreamFailed))),
+                Err(_) => Next::Answered(Reply::Refused(Refusal::may_have_run(Cause::UpstreamFailed))),
             },
             ready = self.caller.stream.readable(), if is_reading => {
                 if ready.is_err() {
@@ -239,10 +239,10 @@
     fn late_at(&self) -> Moment {
         let limits = self.limits();
         match self.head_since {
-            Some(since) if self.arriving.is_none() => since + duration(limits.head_timeout_ms),
-            _ if !self.pending.is_empty() => Moment::now() + duration(limits.idle_timeout_ms),
-            _ if self.is_idle() => self.active + duration(limits.idle_timeout_ms) + IDLE_SLACK,
-            _ => self.active + duration(limits.idle_timeout_ms),
+            Some(since) if self.arriving.is_none() => since + to_duration(limits.head_timeout_ms),
+            _ if !self.pending.is_empty() => Moment::now() + to_duration(limits.idle_timeout_ms),
+            _ if self.is_idle() => self.active + to_duration(limits.idle_timeout_ms) + IDLE_SLACK,
+            _ => self.active + to_duration(limits.idle_timeout_ms),
         }
     }
 
@@ -336,11 +336,11 @@
     fn begin(&mut self) -> bool {
         let Some(request) = self.whole.take() else { return false };
         let repeat = match request.head.is_safe_method() {
-            true => Repeat::Idempotent,
-            false => Repeat::AtMostOnce,
+            true => Idempotency::Idempotent,
+            false => Idempotency::AtMostOnce,
         };
-        let all_read = repeat == Repeat::Idempotent
-            && self.pending.iter().all(|pending| pending.repeat == Repeat::Idempotent);
+        let all_read = repeat == Idempotency::Idempotent
+            && self.pending.iter().all(|pending| pending.repeat == Idempotency::Idempotent);
         let may_begin = self.pending.is_empty() || all_read && self.pending.len() < MAX_PIPELINED;
         if !may_begin {
             self.whole = Some(request);
@@ -374,7 +374,7 @@
     /// A faulty request is answered after those before it, and ends the connection.
     async fn write_fault(&mut self) {
         let Some(refusal) = self.faulty else { return };
-        self.host.metrics.refused("", refusal.cause);
+        self.host.metrics.request_refused("", refusal.cause);
         let bytes = render_refusal(&self.host, None, refusal, true);
         // The connection ends here either way.
         let _ = clock::timeout(WRITE_LIMIT, self.caller.write(&bytes)).await;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -10,10 +10,10 @@
 //! - [`placement`]: places at upstreams, from whoever schedules a service
 //! - [`connection`], [`pool`], [`probe`]: upstreams' connections, and asking before sending
 //! - [`quarantine`]: requests that crash upstreams, seen and told
-//! - [`reading`], [`peers`], [`fleet_message`]: what is published, from the source or from peers, and
+//! - [`source_reader`], [`peers`], [`fleet_message`]: what is published, from the source or from peers, and
 //!   what else hosts tell each other
 //! - [`backpressure`]: what upstreams say of the load that they bear, read and told
-//! - [`unread`]: what upstreams say that nothing reads
+//! - [`unread_headers`]: what upstreams say that nothing reads
 //! - [`event_log`], [`metrics`], [`operator`]: what it tells operators
 //! - [`run`]: start, reload, stop
 //!
@@ -34,9 +34,9 @@
 pub mod pool;
 pub mod probe;
 pub mod quarantine;
-pub mod reading;
 pub mod run;
 pub mod serve;
 pub mod settings;
 pub mod source;
-pub mod unread;
+pub mod source_reader;
+pub mod unread_headers;
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -11,11 +11,11 @@
 
 use crate::backpressure;
 use crate::event_log::LogEvent;
-use crate::host::{ACCEPT_PAUSE, Host, duration};
+use crate::host::{ACCEPT_PAUSE, Host, to_duration};
 use crate::placement;
 use crate::quarantine;
 use codec::{CodecError, Datagram};
-use dispatch::scheduler::Asker;
+use dispatch::scheduler::Requester;
 use domain::Millis;
 use fetch::FETCH_LIMIT;
 use published::{Effect, Fetch, Gossip, Message};
@@ -68,7 +68,7 @@
     }
 
     /// Has the host's gossip decide, and carries out what it decided.
-    pub fn act(self: &Rc<Peers>, decide: impl FnOnce(&mut Gossip) -> Vec<Effect>) {
+    pub fn run_gossip(self: &Rc<Peers>, decide: impl FnOnce(&mut Gossip) -> Vec<Effect>) {
         let effects = decide(&mut self.host.gossip.borrow_mut());
         for effect in effects {
             self.carry_out(effect);
@@ -76,7 +76,7 @@
     }
 
     /// Joins through the seeds, then greets them and the peers; never ends.
-    pub async fn greet(self: Rc<Peers>) {
+    pub async fn send_hello(self: Rc<Peers>) {
         let mut next_join = FIRST_JOINS;
         loop {
             let seeds = self.seed_addresses();
@@ -88,10 +88,10 @@
                 false => GREETINGS,
             };
             if is_joining {
-                self.act(|gossip| gossip.join(&seeds));
+                self.run_gossip(|gossip| gossip.join(&seeds));
                 next_join = (next_join * 2).min(LAST_JOINS);
             } else {
-                self.act(|gossip| gossip.greet(&seeds));
+                self.run_gossip(|gossip| gossip.send_hello(&seeds));
             }
             let jitter = self.host.rng.borrow_mut().random_range(GREETING_JITTER);
             clock::sleep(pause.mul_f64(jitter)).await;
@@ -99,7 +99,7 @@
     }
 
     fn is_being_told(&self) -> bool {
-        self.host.gossip.borrow().is_being_told(self.host.now_ms())
+        self.host.gossip.borrow().is_bootstrap_pending(self.host.now_ms())
     }
 
     fn is_settling(&self) -> bool {
@@ -107,7 +107,7 @@
     }
 
     /// Takes datagrams; never ends.
-    pub async fn listen(self: Rc<Peers>) {
+    pub async fn receive(self: Rc<Peers>) {
         let mut buffer = vec![0; LARGEST_DATAGRAM_BYTES];
         loop {
             match self.socket.recv_from(&mut buffer).await {
@@ -119,7 +119,7 @@
     }
 
     /// Tells peers that ask for it what they lack; never ends.
-    pub async fn give(self: Rc<Peers>, listener: TcpListener) {
+    pub async fn serve_fetches(self: Rc<Peers>, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
@@ -139,20 +139,20 @@
         match codec::decode(datagram) {
             Ok(Datagram::Gossip(message)) => {
                 let now_ms = self.host.now_ms();
-                self.act(|gossip| gossip.take(now_ms, message, from));
+                self.run_gossip(|gossip| gossip.handle_message(now_ms, message, from));
             }
             Ok(Datagram::Quarantine(message)) => {
                 if quarantine::handle_message(&self.host, message, from) {
-                    self.act(|gossip| gossip.answer(from));
+                    self.run_gossip(|gossip| gossip.acknowledge_relay(from));
                 }
             }
             Ok(Datagram::Backpressure(message)) => {
                 if backpressure::handle_message(&self.host, message, from) {
-                    self.act(|gossip| gossip.answer(from));
+                    self.run_gossip(|gossip| gossip.acknowledge_relay(from));
                 }
             }
             Ok(Datagram::Placement(message)) => {
-                placement::handle_message(&self.host, message, Asker::Peer(from));
+                placement::handle_message(&self.host, message, Requester::Peer(from));
             }
             Err(e) => self.host.log.write(&LogEvent::PeerUnreadable {
                 from: from.to_string(),
@@ -162,27 +162,31 @@
     }
 
     fn carry_out(self: &Rc<Peers>, effect: Effect) {
-        let hosts = self.host.hosts();
+        let hosts = self.host.host_count();
         match effect {
             Effect::Send { message, to } => self.send(&message, &to),
             Effect::Fetch(fetch) => self.fetch(fetch),
-            Effect::Believed { beliefs, from } => {
-                self.host.picture_changed(&beliefs, from.as_str());
+            Effect::StateUpdated { state_changes, from } => {
+                self.host.apply_state_changes(&state_changes, from.as_str());
             }
-            Effect::Fetched { from, revision, is_whole } => {
+            Effect::FetchEnded { from, revision, is_full } => {
                 let peer = from.as_str();
-                self.host.log.write(&LogEvent::Fetched { peer, revision, is_whole });
+                self.host.log.write(&LogEvent::Fetched { peer, revision, is_whole: is_full });
             }
-            Effect::PeersHeard(peers) => {
+            Effect::PeersDiscovered(peers) => {
                 peers.iter().for_each(|peer| self.host.placement.mark_responsive(peer));
                 let (count, first) = (peers.len(), peers.first());
                 quarantine::catch_up_after_start(&self.host);
                 backpressure::catch_up_after_start(&self.host);
                 self.host.log.write(&LogEvent::PeersHeard { count, first, hosts });
             }
-            Effect::Announce { after_ms } => self.act_later(after_ms, Gossip::announce),
-            Effect::AnswerWaiting { after_ms } => self.act_later(after_ms, Gossip::answer_more),
-            Effect::PeerGone(peer) => {
+            Effect::AnnounceJoined { delay_ms } => {
+                self.run_gossip_later(delay_ms, Gossip::announce_joined)
+            }
+            Effect::AnswerPendingJoins { delay_ms } => {
+                self.run_gossip_later(delay_ms, Gossip::answer_pending_joins)
+            }
+            Effect::PeerRemoved(peer) => {
                 self.host.log.write(&LogEvent::PeerGone { peer: &peer, hosts });
             }
         }
@@ -200,26 +204,26 @@
         self.host.placement.send_to_peers(&self.host.metrics, &datagram, to);
     }
 
-    fn act_later(
+    fn run_gossip_later(
         self: &Rc<Peers>,
         after_ms: Millis,
         decide: fn(&mut Gossip, Millis) -> Vec<Effect>,
     ) {
         let peers = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            clock::sleep(duration(after_ms)).await;
+            clock::sleep(to_duration(after_ms)).await;
             let now_ms = peers.host.now_ms();
-            peers.act(|gossip| decide(gossip, now_ms));
+            peers.run_gossip(|gossip| decide(gossip, now_ms));
         });
     }
 
     fn fetch(self: &Rc<Peers>, fetch: Fetch) {
         let peers = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            clock::sleep(duration(fetch.after_ms)).await;
+            clock::sleep(to_duration(fetch.delay_ms)).await;
             let answer = fetch::fetch(&fetch).await;
             let now_ms = peers.host.now_ms();
-            peers.act(|gossip| gossip.take_told(now_ms, fetch, answer));
+            peers.run_gossip(|gossip| gossip.finish_fetch(now_ms, fetch, answer));
         });
     }
 
@@ -235,9 +239,12 @@
 fn encode(message: &Message) -> Result<Vec<u8>, CodecError> {
     let whole = codec::encode(&Datagram::Gossip(message.clone()))?;
     match message {
-        Message::News { news, passes_on } if whole.len() > MAX_DATAGRAM_BYTES => {
-            let news = Message::News { news: news.without_changes(), passes_on: *passes_on };
-            codec::encode(&Datagram::Gossip(news))
+        Message::StateUpdate { update, should_relay } if whole.len() > MAX_DATAGRAM_BYTES => {
+            let update = Message::StateUpdate {
+                update: update.without_changes(),
+                should_relay: *should_relay,
+            };
+            codec::encode(&Datagram::Gossip(update))
         }
         Message::JoinReply(reply) if whole.len() > MAX_DATAGRAM_BYTES => {
             let reply = Message::JoinReply(Box::new(reply.without_items()));
--- a/crates/gateway/src/peers/fetch.rs
+++ b/crates/gateway/src/peers/fetch.rs
@@ -5,7 +5,7 @@
 use super::codec;
 use crate::host::Host;
 use clock::{Moment, sleep, timeout};
-use published::{Fetch, FetchReply, Question};
+use published::{Fetch, FetchReply, FetchRequest};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -41,7 +41,7 @@
     let until = Moment::now() + ASKING_LIMIT;
     while Moment::now() < until {
         for &address in &fetch.from {
-            if let Ok(Ok(told)) = timeout(FETCH_LIMIT, ask(address, fetch.question)).await {
+            if let Ok(Ok(told)) = timeout(FETCH_LIMIT, ask(address, fetch.request)).await {
                 return Some((address, told));
             }
         }
@@ -50,11 +50,11 @@
     None
 }
 
-async fn ask(address: SocketAddr, question: Question) -> std::io::Result<FetchReply> {
+async fn ask(address: SocketAddr, request: FetchRequest) -> std::io::Result<FetchReply> {
     let connecting = TcpSocket::new_v4()?.connect(address);
     let mut stream = timeout(CONNECT_LIMIT, connecting).await??;
-    let question = codec::encode(&question).map_err(std::io::Error::other)?;
-    stream.write_all(&question).await?;
+    let request = codec::encode(&request).map_err(std::io::Error::other)?;
+    stream.write_all(&request).await?;
     stream.shutdown().await?;
     let mut bytes = Vec::new();
     stream.take(MAX_TOLD_BYTES).read_to_end(&mut bytes).await?;
@@ -63,16 +63,16 @@
 
 /// Tells a peer what it lacks.
 pub(super) async fn give(host: &Host, mut stream: TcpStream) -> std::io::Result<()> {
-    let mut question = Vec::new();
-    (&mut stream).take(MAX_ASKED_BYTES).read_to_end(&mut question).await?;
-    let question: Question = codec::decode(&question).map_err(std::io::Error::other)?;
-    let told = host.gossip.borrow().tell(host.now_ms(), question);
+    let mut request = Vec::new();
+    (&mut stream).take(MAX_ASKED_BYTES).read_to_end(&mut request).await?;
+    let request: FetchRequest = codec::decode(&request).map_err(std::io::Error::other)?;
+    let told = host.gossip.borrow().reply_to_fetch(host.now_ms(), request);
     // A host that can't help closes the connection, and another is asked.
     let Some(told) = told else { return Ok(()) };
     let bytes = codec::encode(&told).map_err(std::io::Error::other)?;
     let Some(_turn) = Turn::take(host, bytes.len()) else { return Ok(()) };
     stream.write_all(&bytes).await?;
-    host.metrics.told_peers(bytes.len());
+    host.metrics.peer_bytes_sent(bytes.len());
     stream.shutdown().await
 }
 
@@ -86,16 +86,16 @@
     /// None if as many as may be are being given.
     fn take(host: &Host, bytes: usize) -> Option<Turn<'_>> {
         let is_large = bytes >= LARGE_BYTES;
-        if is_large && host.large_answers.get() >= LARGE_AT_ONCE {
+        if is_large && host.large_replies_in_progress.get() >= LARGE_AT_ONCE {
             return None;
         }
-        host.large_answers.update(|giving| giving + usize::from(is_large));
+        host.large_replies_in_progress.update(|giving| giving + usize::from(is_large));
         Some(Turn { host, is_large })
     }
 }
 
 impl Drop for Turn<'_> {
     fn drop(&mut self) {
-        self.host.large_answers.update(|giving| giving - usize::from(self.is_large));
+        self.host.large_replies_in_progress.update(|giving| giving - usize::from(self.is_large));
     }
 }
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -15,9 +15,10 @@
 use crate::host::Host;
 use crate::metrics::Metrics;
 use crate::peers::codec::Datagram;
-use dispatch::budget::AskBudget;
+use dispatch::budget::ProbeBudget;
 use dispatch::scheduler::{
-    Asker, Cell, Directory, Place, PlacementMessage, RefusalCause, SchedulerSet, Submission, Ticket,
+    Cell, Directory, Placement, PlacementMessage, RefusalCause, Requester, SchedulerSet,
+    Submission, Ticket,
 };
 use domain::{FastMap, HostId, Millis, ServiceName};
 use published::Member;
@@ -49,7 +50,7 @@
     /// Schedulers that run on this host.
     pub schedulers: RefCell<SchedulerSet>,
     /// Probes that its schedulers may send.
-    pub probe_budget: RefCell<AskBudget>,
+    pub probe_budget: RefCell<ProbeBudget>,
     directory: RefCell<Directory>,
     pending: RefCell<FastMap<Ticket, mpsc::UnboundedSender<SchedulerReply>>>,
     next_ticket: std::cell::Cell<u64>,
@@ -63,15 +64,15 @@
 #[derive(Debug)]
 enum SchedulerReply {
     Queued,
-    Placed(Place),
+    Placed(Placement),
     Refused(RefusalCause),
 }
 
 /// The result of submitting a request.
 #[derive(Debug)]
-pub enum Placement {
+pub enum PlacementResult {
     /// The request was placed.
-    Placed(PlacementGuard, Place),
+    Placed(PlacementGuard, Placement),
     /// The scheduler refused it.
     Refused(RefusalCause),
     /// No scheduler replied in time.
@@ -83,7 +84,7 @@
     pub fn new(
         socket: Rc<UdpSocket>,
         host: HostId,
-        probe_budget: AskBudget,
+        probe_budget: ProbeBudget,
         seed: u64,
     ) -> PlacementState {
         PlacementState {
@@ -110,14 +111,14 @@
 
     /// Records that a peer is up in a new run, so that it is used as a scheduler again.
     pub fn mark_responsive(&self, peer: &HostId) {
-        self.directory.borrow_mut().note_heard(peer);
+        self.directory.borrow_mut().record_response(peer);
     }
 
     /// Sends a datagram to peers, without a retry: receivers notice by themselves what they missed.
     pub fn send_to_peers(&self, metrics: &Metrics, datagram: &[u8], to: &[SocketAddr]) {
         for &address in to {
             if self.socket.try_send_to(datagram, address).is_ok() {
-                metrics.told_peers(datagram.len());
+                metrics.peer_bytes_sent(datagram.len());
             }
         }
     }
@@ -141,36 +142,38 @@
     host: &Rc<Host>,
     cell: Cell,
     submission: impl FnOnce(Ticket, Cell) -> Submission,
-) -> Placement {
-    let Some(scheduler) = choose_scheduler(host, &cell) else { return Placement::Unanswered };
+) -> PlacementResult {
+    let Some(scheduler) = choose_scheduler(host, &cell) else { return PlacementResult::Unanswered };
     let ticket = host.placement.draw_ticket();
     let (replies, mut received) = mpsc::unbounded_channel();
     host.placement.pending.borrow_mut().insert(ticket, replies);
     let guard = PlacementGuard::new(host, ticket, &scheduler);
-    let lends = host.rates.borrow_mut().lend(host.now_ms(), &cell, &scheduler.host);
-    let submission = Submission { lends, ..submission(ticket, cell.clone()) };
+    let lends_rate_share = host.rate_limiter.borrow_mut().lend(host.now_ms(), &cell, &scheduler.host);
+    let submission = Submission { lends_rate_share, ..submission(ticket, cell.clone()) };
     guard.send(PlacementMessage::Submit(submission));
     let mut longest = FIRST_REPLY;
     loop {
         match clock::timeout(longest, received.recv()).await {
             Ok(Some(reply)) => {
-                host.placement.directory.borrow_mut().note_heard(&scheduler.host);
+                host.placement.directory.borrow_mut().record_response(&scheduler.host);
                 match reply {
                     SchedulerReply::Queued => {
                         host.placement.record_wait(&cell.service, host.now_ms());
                         longest = NEXT_REPLY;
                     }
-                    SchedulerReply::Placed(place) => return Placement::Placed(guard, place),
+                    SchedulerReply::Placed(placement) => {
+                        return PlacementResult::Placed(guard, placement);
+                    }
                     SchedulerReply::Refused(cause) => {
                         host.placement.record_wait(&cell.service, host.now_ms());
                         guard.forget();
-                        return Placement::Refused(cause);
+                        return PlacementResult::Refused(cause);
                     }
                 }
             }
             Ok(None) | Err(_) => {
                 record_unresponsive(host, &scheduler.host, &cell);
-                return Placement::Unanswered;
+                return PlacementResult::Unanswered;
             }
         }
     }
@@ -185,18 +188,18 @@
 
 fn record_unresponsive(host: &Host, scheduler: &HostId, cell: &Cell) {
     let now_ms = host.now_ms();
-    let is_passed_over = host.placement.directory.borrow_mut().note_silent(now_ms, scheduler);
+    let is_passed_over = host.placement.directory.borrow_mut().record_timeout(now_ms, scheduler);
     host.log.write(&LogEvent::SchedulerSilent { scheduler, cell, is_passed_over });
 }
 
 /// Handles a peer's message about a placement.
-pub fn handle_message(host: &Rc<Host>, message: PlacementMessage, asker: Asker) {
+pub fn handle_message(host: &Rc<Host>, message: PlacementMessage, requester: Requester) {
     match message {
         PlacementMessage::Queued { ticket } => {
             host.placement.deliver(ticket, SchedulerReply::Queued)
         }
-        PlacementMessage::Placed { ticket, place } => {
-            host.placement.deliver(ticket, SchedulerReply::Placed(place));
+        PlacementMessage::Placed { ticket, placement } => {
+            host.placement.deliver(ticket, SchedulerReply::Placed(placement));
         }
         PlacementMessage::Refused { ticket, cause } => {
             host.placement.deliver(ticket, SchedulerReply::Refused(cause));
@@ -204,19 +207,21 @@
         // This host knows only some upstreams and must not schedule; the sender probes instead.
         PlacementMessage::Submit(Submission { ticket, .. }) if host.is_partial() => {
             let cause = RefusalCause::NoUpstream;
-            send(host, asker, PlacementMessage::Refused { ticket, cause });
+            send(host, requester, PlacementMessage::Refused { ticket, cause });
         }
         PlacementMessage::Submit(_)
         | PlacementMessage::Ended { .. }
-        | PlacementMessage::Withdrawn { .. } => scheduling::handle_message(host, message, asker),
+        | PlacementMessage::Withdrawn { .. } => {
+            scheduling::handle_message(host, message, requester)
+        }
     }
 }
 
 /// Sends a message to a host, or handles it here if it is for this host.
-fn send(host: &Rc<Host>, to: Asker, message: PlacementMessage) {
+fn send(host: &Rc<Host>, to: Requester, message: PlacementMessage) {
     let address = match to {
-        Asker::Own => return handle_message(host, message, Asker::Own),
-        Asker::Peer(address) => address,
+        Requester::OwnHost => return handle_message(host, message, Requester::OwnHost),
+        Requester::Peer(address) => address,
     };
     // Not retried: a host that waits in vain probes upstreams by itself.
     fleet_message::send(host, &Datagram::Placement(message), &[address]);
--- a/crates/gateway/src/placement/guard.rs
+++ b/crates/gateway/src/placement/guard.rs
@@ -2,7 +2,7 @@
 
 use super::send;
 use crate::host::Host;
-use dispatch::scheduler::{Asker, Outcome, PlacementMessage, Ticket, Withdrawal};
+use dispatch::scheduler::{Outcome, PlacementMessage, Requester, Ticket, Withdrawal};
 use domain::HostId;
 use published::Member;
 use std::rc::Rc;
@@ -13,7 +13,7 @@
 pub struct PlacementGuard {
     host: Rc<Host>,
     ticket: Ticket,
-    scheduler: Asker,
+    scheduler: Requester,
     scheduler_host: HostId,
     withdrawal: Withdrawal,
     is_over: bool,
@@ -25,7 +25,7 @@
         PlacementGuard {
             host: Rc::clone(host),
             ticket,
-            scheduler: if is_own { Asker::Own } else { Asker::Peer(scheduler.address) },
+            scheduler: if is_own { Requester::OwnHost } else { Requester::Peer(scheduler.address) },
             scheduler_host: scheduler.host.clone(),
             withdrawal: Withdrawal::NotSent,
             is_over: false,
@@ -44,7 +44,7 @@
 
     /// Whether this host is the scheduler, so that the request's outcome is recorded here already.
     pub fn is_own(&self) -> bool {
-        self.scheduler == Asker::Own
+        self.scheduler == Requester::OwnHost
     }
 
     /// Records that the request is sent to the upstream.
@@ -77,7 +77,10 @@
     fn drop(&mut self) {
         self.host.placement.pending.borrow_mut().remove(&self.ticket);
         if !self.is_over {
-            self.send(PlacementMessage::Withdrawn { ticket: self.ticket, how: self.withdrawal });
+            self.send(PlacementMessage::Withdrawn {
+                ticket: self.ticket,
+                withdrawal: self.withdrawal,
+            });
         }
     }
 }
--- a/crates/gateway/src/placement/scheduling.rs
+++ b/crates/gateway/src/placement/scheduling.rs
@@ -4,31 +4,31 @@
 use crate::host::Host;
 use crate::probe;
 use dispatch::UpstreamSet;
-use dispatch::scheduler::{Asker, Cell, Directory, Effect, PlacementMessage, SchedulerSet};
+use dispatch::scheduler::{Cell, Directory, Effect, PlacementMessage, Requester, SchedulerSet};
 use domain::Millis;
 use rand_pcg::Pcg64Mcg;
 use std::rc::Rc;
 
 /// Handles a host's message to a scheduler.
-pub(super) fn handle_message(host: &Rc<Host>, message: PlacementMessage, asker: Asker) {
+pub(super) fn handle_message(host: &Rc<Host>, message: PlacementMessage, requester: Requester) {
     decide_and_apply(host, |schedulers, now_ms, upstreams, rng| {
-        schedulers.take(now_ms, message, asker, upstreams, rng)
+        schedulers.handle_message(now_ms, message, requester, upstreams, rng)
     });
 }
 
 /// Decides again on all waiting requests, after new information or as time has passed.
 pub fn reschedule(host: &Rc<Host>) {
-    decide_and_apply(host, SchedulerSet::turn);
+    decide_and_apply(host, SchedulerSet::schedule);
 }
 
 /// Updates for which cells this host is first in the order of schedulers.
 pub fn update_first_cells(host: &Host) {
     let members = host.members();
-    let is_first = |cell: &Cell| {
+    let is_primary = |cell: &Cell| {
         let all = members.others().chain(std::iter::once(members.own()));
-        Directory::first(cell, all).is_some_and(|first| first.host == members.own().host)
+        Directory::primary(cell, all).is_some_and(|first| first.host == members.own().host)
     };
-    host.placement.schedulers.borrow_mut().set_first(is_first);
+    host.placement.schedulers.borrow_mut().set_primary(is_primary);
 }
 
 /// Has the schedulers decide, and carries out the effects.
@@ -36,14 +36,14 @@
     host: &Rc<Host>,
     decide: impl FnOnce(&mut SchedulerSet, Millis, &mut UpstreamSet, &mut Pcg64Mcg) -> Vec<Effect>,
 ) {
-    host.placement.schedulers.borrow_mut().set_fleet(host.rate_fleet());
+    host.placement.schedulers.borrow_mut().set_fleet(host.fleet_sharing_rates());
     let effects = decide(
         &mut host.placement.schedulers.borrow_mut(),
         host.now_ms(),
         &mut host.upstreams.borrow_mut(),
         &mut host.rng.borrow_mut(),
     );
-    if host.placement.schedulers.borrow().has_unordered() {
+    if host.placement.schedulers.borrow().has_unknown_primary() {
         update_first_cells(host);
     }
     carry_out(host, effects);
@@ -52,7 +52,7 @@
 /// Reschedules waiting requests whenever it is due; never returns.
 pub async fn run(host: Rc<Host>) {
     loop {
-        let next_ms = host.placement.schedulers.borrow().next_turn_ms(host.now_ms());
+        let next_ms = host.placement.schedulers.borrow().next_schedule_ms(host.now_ms());
         match next_ms {
             Some(next_ms) => {
                 host.clock.sleep_until(next_ms).await;
@@ -66,8 +66,8 @@
 fn carry_out(host: &Rc<Host>, effects: Vec<Effect>) {
     for effect in effects {
         match effect {
-            Effect::Tell { to, message } => send(host, to, message),
-            Effect::Ask(upstream) => {
+            Effect::Send { to, message } => send(host, to, message),
+            Effect::Probe(upstream) => {
                 let host = Rc::clone(host);
                 tokio::task::spawn_local(async move {
                     if probe::refresh(&host, &upstream).await {
@@ -77,7 +77,7 @@
             }
         }
     }
-    if host.placement.schedulers.borrow().waiting() > 0 {
+    if host.placement.schedulers.borrow().waiting_count() > 0 {
         host.placement.is_waiting.notify_one();
     }
 }
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -15,7 +15,10 @@
 use crate::connection::Connection;
 use crate::host::Host;
 use clock::Moment;
-use dispatch::{ASKED_AT_ONCE, AT_ONCE, Candidate, GOOD_ENOUGH, ROUNDS, Reach, UNWELL_COST};
+use dispatch::{
+    Candidate, GOOD_ENOUGH_COST, IMMEDIATE_COST, PROBE_ROUNDS, PROBES_PER_ROUND, UNHEALTHY_COST,
+    ZoneScope,
+};
 use domain::{ServiceName, UpstreamId};
 use health_check::{ProbeBudgetKind, probe_within_limit, take_probe};
 use std::rc::Rc;
@@ -72,7 +75,7 @@
     let mut excluded = excluded.to_vec();
     let mut best: Option<Chosen> = None;
     let (mut asked, mut answered) = (0, 0);
-    for round in ROUNDS {
+    for round in PROBE_ROUNDS {
         let candidates = next_candidates(host, service, &mut excluded, round);
         if candidates.is_empty() {
             break;
@@ -81,7 +84,7 @@
         let (chosen, replies) = probe_round(host, service, candidates, ProbeBudgetKind::Own).await;
         answered += replies;
         best = better(host, best, chosen);
-        if best.as_ref().is_some_and(|best| best.cost <= GOOD_ENOUGH) {
+        if best.as_ref().is_some_and(|best| best.cost <= GOOD_ENOUGH_COST) {
             break;
         }
     }
@@ -102,13 +105,20 @@
     let candidates: Vec<UpstreamId> = {
         let upstreams = host.upstreams.borrow();
         let mut rng = host.rng.borrow_mut();
-        let part = (ASKED_AT_ONCE, Reach::Near);
+        let part = (PROBES_PER_ROUND, ZoneScope::Local);
         let pool = host.pool.borrow();
         let is_connected = |id: &UpstreamId| pool.holds(id);
-        let held_back = host.held_back(&upstreams, service);
+        let held_back = host.rate_limited_upstreams(&upstreams, service);
         let now_ms = host.now_ms();
-        let near = upstreams.to_ask(now_ms, service, &held_back, part, is_connected, &mut rng);
-        near.into_iter().filter(|id| !upstreams.is_other_zone(id)).collect()
+        let near = upstreams.choose_probe_targets(
+            now_ms,
+            service,
+            &held_back,
+            part,
+            is_connected,
+            &mut rng,
+        );
+        near.into_iter().filter(|id| !upstreams.is_in_other_zone(id)).collect()
     };
     if candidates.is_empty() {
         return None;
@@ -117,7 +127,7 @@
     let (chosen, answered) =
         probe_round(host, service, candidates, ProbeBudgetKind::LocalZone).await;
     let chosen = chosen?;
-    if chosen.connection.is_some() && chosen.cost <= AT_ONCE {
+    if chosen.connection.is_some() && chosen.cost <= IMMEDIATE_COST {
         return Some(Chosen { asked, answered, ..chosen });
     }
     chosen.put_back(host);
@@ -128,7 +138,7 @@
     host: &Host,
     service: &ServiceName,
     excluded: &mut Vec<UpstreamId>,
-    round: &[(usize, Reach)],
+    round: &[(usize, ZoneScope)],
 ) -> Vec<UpstreamId> {
     let upstreams = host.upstreams.borrow();
     let mut rng = host.rng.borrow_mut();
@@ -136,10 +146,18 @@
     let is_connected = |id: &UpstreamId| pool.holds(id);
     let now_ms = host.now_ms();
     // Upstreams held back now may be probed in a later round.
-    let mut left_out = [excluded.clone(), host.held_back(&upstreams, service)].concat();
+    let mut left_out =
+        [excluded.clone(), host.rate_limited_upstreams(&upstreams, service)].concat();
     let mut candidates = Vec::new();
     for &part in round {
-        let next = upstreams.to_ask(now_ms, service, &left_out, part, is_connected, &mut rng);
+        let next = upstreams.choose_probe_targets(
+            now_ms,
+            service,
+            &left_out,
+            part,
+            is_connected,
+            &mut rng,
+        );
         left_out.extend_from_slice(&next);
         candidates.extend(next);
     }
@@ -188,7 +206,7 @@
         open -= 1;
         answered += usize::from(matches!(reply.result, ProbeResult::Response { .. }));
         best = better(host, best, weigh(host, reply));
-        if best.as_ref().is_some_and(|best| best.cost <= AT_ONCE) {
+        if best.as_ref().is_some_and(|best| best.cost <= IMMEDIATE_COST) {
             break;
         }
         if best.is_some() {
@@ -215,7 +233,7 @@
         ProbeResult::Failure => return None,
     };
     let upstreams = host.upstreams.borrow();
-    if !upstreams.takes_work(&asked.upstream) {
+    if !upstreams.accepts_requests(&asked.upstream) {
         return None;
     }
     if !host.may_send(&upstreams, &asked.upstream) {
@@ -223,8 +241,9 @@
         connection.into_iter().for_each(|it| host.pool.borrow_mut().put(&asked.upstream, it));
         return None;
     }
-    let Candidate { upstream, work, cost } = upstreams.weigh(host.now_ms(), &asked.upstream)?;
-    let cost = if is_well { cost } else { cost + UNWELL_COST };
+    let Candidate { upstream, work, cost } =
+        upstreams.estimate_cost(host.now_ms(), &asked.upstream)?;
+    let cost = if is_well { cost } else { cost + UNHEALTHY_COST };
     Some(Chosen { upstream, connection, work, cost, asked: 0, answered: 0 })
 }
 
--- a/crates/gateway/src/probe/connect.rs
+++ b/crates/gateway/src/probe/connect.rs
@@ -6,7 +6,7 @@
 use crate::connection::Connection;
 use crate::host::Host;
 use domain::UpstreamId;
-use published::{Repeat, RunStart};
+use published::{Idempotency, RunStart};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -22,8 +22,12 @@
 
 /// Returns a connection to an upstream that was chosen without being probed. It is opened only
 /// now, so that no connections are opened to candidates that aren't chosen.
-pub async fn connect(host: &Rc<Host>, upstream: &UpstreamId, repeat: Repeat) -> Option<Connection> {
-    let run = host.upstreams.borrow().run(upstream);
+pub async fn connect(
+    host: &Rc<Host>,
+    upstream: &UpstreamId,
+    repeat: Idempotency,
+) -> Option<Connection> {
+    let run = host.upstreams.borrow().current_run(upstream);
     let kept = host.pool.borrow_mut().take(upstream, run);
     match kept {
         Some(connection) if is_trusted(&connection, repeat) && !connection.is_doubtful() => {
@@ -47,10 +51,10 @@
 
 /// Whether a connection was used so recently that it is taken to be alive without a probe. Checked
 /// again right before sending: the machine may have been suspended since the connection was chosen.
-pub fn is_trusted(connection: &Connection, repeat: Repeat) -> bool {
+pub fn is_trusted(connection: &Connection, repeat: Idempotency) -> bool {
     let trusted = match repeat {
-        Repeat::Idempotent => UNPROBED_IDLE_IDEMPOTENT,
-        Repeat::AtMostOnce => UNPROBED_IDLE,
+        Idempotency::Idempotent => UNPROBED_IDLE_IDEMPOTENT,
+        Idempotency::AtMostOnce => UNPROBED_IDLE,
     };
     connection.idle() < trusted
 }
--- a/crates/gateway/src/probe/health_check.rs
+++ b/crates/gateway/src/probe/health_check.rs
@@ -2,11 +2,11 @@
 
 use crate::backpressure;
 use crate::connection::{Connection, Expected};
-use crate::event_log::{AnswerTo, LogEvent};
+use crate::event_log::{LogEvent, ResponseTo};
 use crate::host::Host;
 use crate::http1::HeadFields;
-use dispatch::backpressure::AnswerKind;
-use dispatch::{AskFailure, LoadReport};
+use dispatch::backpressure::ResponseKind;
+use dispatch::{LoadReport, ProbeFailure};
 use domain::{Millis, ServiceName, UpstreamId};
 use published::RunStart;
 use std::rc::Rc;
@@ -33,26 +33,27 @@
     let mut upstreams = host.upstreams.borrow_mut();
     let Some(known) = upstreams.get_run_mut(upstream, run) else { return };
     match is_well {
-        true => known.note_asked(),
-        false => known.note_ask_failed(now_ms, AskFailure::Unwell),
+        true => known.record_probe_success(),
+        false => known.record_probe_failure(now_ms, ProbeFailure::Unwell),
     }
 }
 
 pub(super) fn record_failure(
     host: &Host,
     (upstream, run): (&UpstreamId, RunStart),
-    failure: AskFailure,
+    failure: ProbeFailure,
 ) {
     let now_ms = host.now_ms();
     if let Some(known) = host.upstreams.borrow_mut().get_run_mut(upstream, run) {
-        known.note_ask_failed(now_ms, failure);
+        known.record_probe_failure(now_ms, failure);
     }
     host.log.write(&LogEvent::AskFailed { upstream, failure });
 }
 
 /// Probes an upstream for this host's schedulers; false if their probe budget is spent.
 pub async fn refresh(host: &Rc<Host>, upstream: &UpstreamId) -> bool {
-    let is_allowed = host.placement.probe_budget.borrow_mut().take(host.now_ms(), upstream, 1.0);
+    let is_allowed =
+        host.placement.probe_budget.borrow_mut().try_spend(host.now_ms(), upstream, 1.0);
     let known = host.upstreams.borrow().get(upstream).map(|known| known.entry.service.clone());
     let Some(service) = known.filter(|_| is_allowed) else { return false };
     if let Some((connection, _)) = probe_within_limit(host, &service, upstream).await {
@@ -68,14 +69,14 @@
     upstream: &UpstreamId,
     budget: ProbeBudgetKind,
 ) -> bool {
-    let (upstreams, fleet) = (host.upstreams.borrow(), host.fleet_shape());
+    let (upstreams, fleet) = (host.upstreams.borrow(), host.fleet_size());
     let (budget, sharing) = match budget {
-        ProbeBudgetKind::Own => (&host.asks, upstreams.sharing_hosts(service, upstream, fleet)),
+        ProbeBudgetKind::Own => (&host.probe_budget, upstreams.probing_hosts(service, upstream, fleet)),
         ProbeBudgetKind::LocalZone => {
-            (&host.neighbours_asks, upstreams.sharing_neighbours(service, fleet))
+            (&host.zone_probe_budget, upstreams.probing_hosts_in_zone(service, fleet))
         }
     };
-    budget.borrow_mut().take(host.now_ms(), upstream, sharing)
+    budget.borrow_mut().try_spend(host.now_ms(), upstream, sharing)
 }
 
 /// Probes an upstream and records the result; returns the connection, and whether the upstream is
@@ -85,10 +86,10 @@
     service: &ServiceName,
     upstream: &UpstreamId,
 ) -> Option<(Connection, bool)> {
-    let run = host.upstreams.borrow().run(upstream);
+    let run = host.upstreams.borrow().current_run(upstream);
     let probing = probe(host, service, (upstream, run));
     let result = clock::timeout(PROBE_LIMIT, probing).await;
-    match result.unwrap_or(Err(AskFailure::Silent)) {
+    match result.unwrap_or(Err(ProbeFailure::TimedOut)) {
         Ok(ProbeResponse { connection, is_well }) => {
             record_result(host, (upstream, run), is_well);
             Some((connection, is_well))
@@ -109,14 +110,14 @@
     host: &Rc<Host>,
     service: &ServiceName,
     (upstream, run): (&UpstreamId, RunStart),
-) -> Result<ProbeResponse, AskFailure> {
+) -> Result<ProbeResponse, ProbeFailure> {
     let path = health_path(host, service);
     let kept = host.pool.borrow_mut().take(upstream, run);
     if let Some(mut connection) = kept {
         match exchange(host, &mut connection, (upstream, run), &path).await {
             Ok(is_well) => return Ok(ProbeResponse { connection, is_well }),
             // An idle connection may be dead; a probe is safe to repeat.
-            Err(AskFailure::Unreachable) => {}
+            Err(ProbeFailure::Unreachable) => {}
             Err(failure) => return Err(failure),
         }
     }
@@ -126,12 +127,15 @@
 }
 
 /// Opens a connection to an upstream.
-pub(super) async fn open(host: &Rc<Host>, upstream: &UpstreamId) -> Result<Connection, AskFailure> {
+pub(super) async fn open(
+    host: &Rc<Host>,
+    upstream: &UpstreamId,
+) -> Result<Connection, ProbeFailure> {
     let entry = host.upstreams.borrow().get(upstream).map(|known| Arc::clone(&known.entry));
-    let entry = entry.ok_or(AskFailure::Unreachable)?;
-    host.metrics.connected();
+    let entry = entry.ok_or(ProbeFailure::Unreachable)?;
+    host.metrics.connection_opened();
     let connection = Connection::open(entry.address, CONNECT_LIMIT).await;
-    connection.map(|open| open.belonging_to(entry.run)).map_err(|_| AskFailure::Unreachable)
+    connection.map(|open| open.belonging_to(entry.run)).map_err(|_| ProbeFailure::Unreachable)
 }
 
 pub(super) fn health_path(host: &Host, service: &ServiceName) -> String {
@@ -147,36 +151,36 @@
     connection: &mut Connection,
     (upstream, run): (&UpstreamId, RunStart),
     path: &str,
-) -> Result<bool, AskFailure> {
-    host.metrics.asked();
+) -> Result<bool, ProbeFailure> {
+    host.metrics.probe_sent();
     let request = format!("GET {path} HTTP/1.1\r\nhost: upstream\r\n\r\n");
     let id = Some((host.dialect.request_id, ""));
     let expected = Expected { has_body: true, id, read_timeouts: None };
     let answer = connection.exchange(request.as_bytes(), expected).await;
-    let answer = answer.map_err(|_| AskFailure::Unreachable)?;
-    host.note_unread(upstream, &answer.head.fields, AnswerTo::HealthCheck);
+    let answer = answer.map_err(|_| ProbeFailure::Unreachable)?;
+    host.log_unread_headers(upstream, &answer.head.fields, ResponseTo::HealthCheck);
     let is_other = |id: &str| id != upstream.as_str();
     if answer.head.fields.get(host.dialect.upstream).is_some_and(is_other) {
-        return Err(AskFailure::OtherUpstream);
+        return Err(ProbeFailure::OtherUpstream);
     }
     if let Some(report) = read_load(host, &answer.head.fields) {
         note_report(host, (upstream, run), report);
     }
     record_cold(host, (upstream, run), &answer.head.fields);
     let stated = backpressure::read_fields(host, upstream, &answer.head.fields);
-    backpressure::record(host, (upstream, run), AnswerKind::HealthCheck, stated);
+    backpressure::record(host, (upstream, run), ResponseKind::HealthCheck, stated);
     Ok(answer.head.status == 200)
 }
 
 /// The load that a response reports, if any.
 pub fn read_load(host: &Host, fields: &HeadFields) -> Option<LoadReport> {
-    fields.get(host.dialect.load).and_then(host.dialect.read_load)
+    fields.get(host.dialect.load).and_then(host.dialect.parse_load)
 }
 
 /// Records a load report of a run of an upstream.
 pub fn note_report(host: &Host, upstream: (&UpstreamId, RunStart), report: LoadReport) {
     let now_ms: Millis = host.now_ms();
-    host.upstreams.borrow_mut().note_report(now_ms, upstream, report);
+    host.upstreams.borrow_mut().record_report(now_ms, upstream, report);
 }
 
 /// Records whether a run of an upstream is cold, as its response to a probe states: a warm one
@@ -187,7 +191,7 @@
     let left_ms = stated.and_then(|text| text.parse().ok()).map(Millis);
     if stated.is_some() && left_ms.is_none() {
         let value = stated.unwrap_or_default();
-        return host.note_unreadable(upstream, host.dialect.cold_ms, value.as_bytes());
+        return host.log_malformed_header(upstream, host.dialect.cold_ms, value.as_bytes());
     }
-    host.upstreams.borrow_mut().note_cold(host.now_ms(), upstream_run, left_ms);
+    host.upstreams.borrow_mut().record_warmup_left(host.now_ms(), upstream_run, left_ms);
 }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -10,7 +10,7 @@
 use crate::fleet_message;
 use crate::host::Host;
 use crate::peers::codec::Datagram;
-use dispatch::quarantine::{Changed, Crash, QuarantineMessage};
+use dispatch::quarantine::{Crash, QuarantineMessage, SuspectChange};
 use domain::{Millis, RequestFingerprint, UpstreamId};
 use published::{Eligibility, RunStart, Upstream};
 use std::io::ErrorKind;
@@ -44,7 +44,7 @@
     tokio::task::spawn_local(async move {
         let checking = has_crashed(&host, &broken.upstream);
         let has_crashed = clock::timeout(CHECK_LIMIT, checking).await.unwrap_or(false);
-        host.metrics.broke_off(has_crashed);
+        host.metrics.upstream_broke_off(has_crashed);
         if has_crashed {
             record_crash(&host, broken);
         }
@@ -59,7 +59,7 @@
         EntryState::Leaving => return false,
         EntryState::Ready => {}
     }
-    host.metrics.connected();
+    host.metrics.connection_opened();
     match Connection::open(entry.address, CHECK_LIMIT).await {
         Ok(connection) => {
             host.pool.borrow_mut().put(&entry.id, connection.belonging_to(entry.run));
@@ -106,7 +106,7 @@
         sent_ms: broken.sent_ms,
         crashed_ms: broken.broke_ms,
     };
-    let changed = host.quarantine.borrow_mut().note_crash(broken.fingerprint, crash);
+    let changed = host.quarantine.borrow_mut().record_crash(broken.fingerprint, crash);
     log_changes(host, changed);
     send_to_fleet(host);
 }
@@ -118,7 +118,7 @@
 
 /// Records that a request that crashed an upstream has its final response.
 pub fn record_final_response(host: &Host, fingerprint: RequestFingerprint) {
-    host.quarantine.borrow_mut().note_over(fingerprint);
+    host.quarantine.borrow_mut().record_final_answer(fingerprint);
     send_to_fleet(host);
 }
 
@@ -131,7 +131,7 @@
 /// Ends a trial of this host.
 pub fn end_trial(host: &Host, fingerprint: RequestFingerprint) {
     host.quarantine.borrow_mut().end_trial(fingerprint);
-    host.quarantine_news.notify_waiters();
+    host.quarantine_changed.notify_waiters();
 }
 
 /// Lifts the quarantine of a request, for an operator; false if there is none.
@@ -152,18 +152,18 @@
 /// missed. Called periodically.
 pub fn run_maintenance(host: &Host) {
     let now_ms = host.now_ms();
-    host.quarantine.borrow_mut().settle(now_ms);
-    let Some(digest) = host.quarantine.borrow_mut().offer(now_ms) else { return };
-    let offer = Datagram::Quarantine(QuarantineMessage::Offer { digest });
-    fleet_message::tell_some(host, &offer, 1);
+    host.quarantine.borrow_mut().expire(now_ms);
+    let Some(digest) = host.quarantine.borrow_mut().digest_if_due(now_ms) else { return };
+    let offer = Datagram::Quarantine(QuarantineMessage::Digest { digest });
+    fleet_message::send_to_random_peers(host, &offer, 1);
 }
 
 /// Called when peers become known: after a start, asks them for what this host missed. Limited to a
 /// few times, since hosts that start together learn of each other in dozens of messages.
 pub fn catch_up_after_start(host: &Host) {
-    let asked = host.quarantine_asks.get();
-    if asked < fleet_message::START_ASKS && host.quarantine.borrow().is_empty() {
-        host.quarantine_asks.set(asked + 1);
+    let asked = host.quarantine_requests_sent.get();
+    if asked < fleet_message::START_REQUESTS && host.quarantine.borrow().is_empty() {
+        host.quarantine_requests_sent.set(asked + 1);
         request_from_peers(host);
     }
 }
@@ -171,8 +171,8 @@
 /// Asks some peers for what this host missed before its start or while it was suspended.
 pub fn request_from_peers(host: &Host) {
     let digest = host.quarantine.borrow().digest();
-    let ask = Datagram::Quarantine(QuarantineMessage::Ask { digest });
-    fleet_message::ask_some(host, &ask);
+    let ask = Datagram::Quarantine(QuarantineMessage::Request { digest });
+    fleet_message::request_from_random_peers(host, &ask);
 }
 
 /// Handles a peer's message; true if the peer is to be told that this host is up.
@@ -180,36 +180,36 @@
     let now_ms = host.now_ms();
     let own_digest = host.quarantine.borrow().digest();
     match message {
-        QuarantineMessage::Suspects { suspects, passes_on } => {
-            if passes_on {
+        QuarantineMessage::Suspects { suspects, should_relay } => {
+            if should_relay {
                 let passed =
-                    QuarantineMessage::Suspects { suspects: suspects.clone(), passes_on: false };
-                fleet_message::pass_on(host, &Datagram::Quarantine(passed));
+                    QuarantineMessage::Suspects { suspects: suspects.clone(), should_relay: false };
+                fleet_message::forward_in_zone(host, &Datagram::Quarantine(passed));
             }
-            let changed = host.quarantine.borrow_mut().take(now_ms, suspects);
+            let changed = host.quarantine.borrow_mut().merge(now_ms, suspects);
             log_changes(host, changed);
             send_to_fleet(host);
-            return passes_on;
+            return should_relay;
         }
-        QuarantineMessage::Offer { digest } if digest != own_digest => {
-            send(host, QuarantineMessage::Ask { digest: own_digest }, from);
+        QuarantineMessage::Digest { digest } if digest != own_digest => {
+            send(host, QuarantineMessage::Request { digest: own_digest }, from);
         }
-        QuarantineMessage::Ask { digest } if digest != own_digest => {
-            let suspects = host.quarantine.borrow().tell(now_ms);
-            send(host, QuarantineMessage::Suspects { suspects, passes_on: false }, from);
+        QuarantineMessage::Request { digest } if digest != own_digest => {
+            let suspects = host.quarantine.borrow().export(now_ms);
+            send(host, QuarantineMessage::Suspects { suspects, should_relay: false }, from);
         }
-        QuarantineMessage::Offer { .. } | QuarantineMessage::Ask { .. } => {}
+        QuarantineMessage::Digest { .. } | QuarantineMessage::Request { .. } => {}
     }
     false
 }
 
 /// Sends what peers weren't told yet to all hosts.
 fn send_to_fleet(host: &Host) {
-    let untold = host.quarantine.borrow_mut().take_untold(host.now_ms());
+    let untold = host.quarantine.borrow_mut().take_pending(host.now_ms());
     let Some(suspects) = untold else { return };
-    fleet_message::tell_fleet(host, |passes_on| {
+    fleet_message::broadcast(host, |should_relay| {
         let suspects = suspects.clone();
-        Datagram::Quarantine(QuarantineMessage::Suspects { suspects, passes_on })
+        Datagram::Quarantine(QuarantineMessage::Suspects { suspects, should_relay })
     });
 }
 
@@ -218,13 +218,13 @@
 }
 
 /// Logs changes for operators, and wakes requests that wait for the end of a trial.
-fn log_changes(host: &Host, changed: impl IntoIterator<Item = Changed>) {
+fn log_changes(host: &Host, changed: impl IntoIterator<Item = SuspectChange>) {
     let now_ms = host.now_ms();
     for changed in changed {
-        host.quarantine_news.notify_waiters();
+        host.quarantine_changed.notify_waiters();
         host.log.write(&LogEvent::Quarantine {
             fingerprint: changed.fingerprint,
-            change: changed.change,
+            change: changed.status,
             crashes: changed.crashes.len(),
             upstreams: changed.crashes.iter().map(|crash| &crash.upstream).collect(),
             seen_by: changed.crashes.iter().map(|crash| &crash.seen_by).collect(),
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -7,19 +7,19 @@
 use crate::backpressure;
 use crate::dialect::Dialect;
 use crate::event_log::{EventLog, LogEvent};
-use crate::host::{Host, duration};
+use crate::host::{Host, to_duration};
 use crate::ingress;
 use crate::metrics::Metrics;
 use crate::operator::{self, Audience};
 use crate::peers::Peers;
 use crate::placement;
 use crate::quarantine;
-use crate::reading::Readings;
 use crate::settings::Settings;
 use crate::source::Source;
+use crate::source_reader::SourceReader;
 use domain::{Incarnation, Millis};
 use error_stack::{Report, ResultExt};
-use published::{Gossip, Member, Reader, Start};
+use published::{Gossip, Member, Reader, StartConditions};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::fmt;
@@ -78,7 +78,7 @@
 /// Reads the settings again.
 pub trait Reload: 'static {
     /// The settings, if they changed since the last look; an error names the remedy.
-    fn look(&mut self, is_told: bool) -> Result<Option<Settings>, String>;
+    fn load_if_changed(&mut self, is_requested: bool) -> Result<Option<Settings>, String>;
 }
 
 /// An entry host that serves.
@@ -159,7 +159,7 @@
         let is_seed = settings.seeds.contains(&settings.peers.ip());
         let is_other = |seed: &&IpAddr| **seed != settings.peers.ip();
         let other_seeds = settings.seeds.iter().filter(is_other).count();
-        let start = Start {
+        let start = StartConditions {
             is_seed,
             is_first: settings.is_first_start,
             other_seeds,
@@ -174,7 +174,7 @@
         let peers = Peers::new(Rc::clone(&host), datagrams);
         let rng = Pcg64Mcg::seed_from_u64(seed.wrapping_add(1));
         let reader = Reader::new(rng, host.now_ms(), start);
-        let readings = Readings::new(Rc::clone(&host), Rc::clone(&peers), source, reader);
+        let readings = SourceReader::new(Rc::clone(&host), Rc::clone(&peers), source, reader);
         spawn_local(ingress::accept(Rc::clone(&host), listeners.callers));
         let platform = operator::listen(Rc::clone(&host), listeners.readiness, Audience::Platform);
         spawn_local(platform);
@@ -191,10 +191,10 @@
             }
             None => {}
         }
-        spawn_local(clock::watch());
-        spawn_local(Rc::clone(&peers).listen());
-        spawn_local(Rc::clone(&peers).give(listeners.pictures));
-        spawn_local(Rc::clone(&peers).greet());
+        spawn_local(clock::watch_for_suspension());
+        spawn_local(Rc::clone(&peers).receive());
+        spawn_local(Rc::clone(&peers).serve_fetches(listeners.pictures));
+        spawn_local(Rc::clone(&peers).send_hello());
         spawn_local(readings.run());
         spawn_local(placement::run(Rc::clone(&host)));
         spawn_local(chores(Rc::clone(&host), Rc::clone(&peers), reload, hangup));
@@ -232,11 +232,11 @@
     host.log.write(&LogEvent::Stopping { open_requests });
     host.log.write(&LogEvent::Ready { is_ready: false, reason: "stopping" });
     host.stopping.send_replace(true);
-    peers.act(Gossip::leave);
-    host.placement.schedulers.borrow_mut().leave();
-    clock::sleep(NOTICE.min(duration(limit_ms))).await;
-    host.closing.send_replace(true);
-    let is_busy = || host.open_requests.get() > 0 || host.open_sessions.get() > 0;
+    peers.run_gossip(Gossip::leave);
+    host.placement.schedulers.borrow_mut().stop_accepting();
+    clock::sleep(NOTICE.min(to_duration(limit_ms))).await;
+    host.closing_idle.send_replace(true);
+    let is_busy = || host.open_requests.get() > 0 || host.open_caller_connections.get() > 0;
     while is_busy() && host.now_ms().since(begun_ms) < limit_ms {
         clock::sleep(STOP_STEP).await;
     }
@@ -249,20 +249,20 @@
 async fn chores<R: Reload>(host: Rc<Host>, peers: Rc<Peers>, mut reload: R, mut hangup: Signal) {
     let mut round: u32 = 0;
     // A machine that is suspended right after the start is known to have been awake before.
-    host.note_awake();
-    peers.act(|gossip| gossip.settle(host.now_ms()));
+    host.record_awake();
+    peers.run_gossip(|gossip| gossip.expire(host.now_ms()));
     loop {
         let begun_ms = host.now_ms();
-        let is_told = tokio::select! {
+        let is_requested = tokio::select! {
             told = hangup.recv() => told.is_some(),
             () = clock::sleep(CHORES) => false,
         };
         let now_ms = host.now_ms();
         note_pause(&host, now_ms.since(begun_ms));
-        host.note_awake();
+        host.record_awake();
         round = round.wrapping_add(1);
-        if is_told || round.is_multiple_of(LOOKS_AT_SETTINGS) {
-            match reload.look(is_told) {
+        if is_requested || round.is_multiple_of(LOOKS_AT_SETTINGS) {
+            match reload.load_if_changed(is_requested) {
                 Ok(Some(settings)) => host.reload(settings),
                 Ok(None) => {}
                 Err(problem) => {
@@ -270,7 +270,7 @@
                 }
             }
         }
-        peers.act(|gossip| gossip.settle(now_ms));
+        peers.run_gossip(|gossip| gossip.expire(now_ms));
         placement::update_first_cells(&host);
         placement::reschedule(&host);
         quarantine::run_maintenance(&host);
--- a/crates/gateway/src/serve/admission.rs
+++ b/crates/gateway/src/serve/admission.rs
@@ -4,7 +4,7 @@
 use super::fingerprint::fingerprint;
 use super::{Request, RoutedRequest};
 use crate::quarantine;
-use dispatch::attempts::{self, Cause, End, Refusal};
+use dispatch::attempts::{self, AttemptResult, Cause, Refusal};
 use dispatch::quarantine::Admission;
 use domain::{Millis, RequestFingerprint};
 
@@ -13,7 +13,7 @@
     /// request if it is quarantined.
     pub(super) async fn wait_for_trial(&self, counts: &AttemptCounts) -> Result<(), Refusal> {
         loop {
-            let news = self.host.quarantine_news.notified();
+            let news = self.host.quarantine_changed.notified();
             let for_ms = match self.admission() {
                 Admission::Free | Admission::Trial => return Ok(()),
                 Admission::Held { for_ms } => return Err(quarantine_refusal(for_ms, counts)),
@@ -50,7 +50,7 @@
     /// Ends the trial, and clears the request if an upstream served it. An error response clears
     /// nothing: the upstream may have failed the request before it ran. Crashes are recorded
     /// where they are detected.
-    pub(super) fn update_quarantine(&self, end: End, is_trial: bool) {
+    pub(super) fn update_quarantine(&self, end: AttemptResult, is_trial: bool) {
         if self.host.quarantine.borrow().is_empty() {
             return;
         }
@@ -58,10 +58,10 @@
             quarantine::end_trial(&self.host, self.fingerprint());
         }
         match end {
-            End::Answered(answered) if attempts::was_served(answered) => {
+            AttemptResult::Answered(answered) if attempts::was_served(answered) => {
                 quarantine::record_served(&self.host, self.fingerprint());
             }
-            End::Answered(_) | End::NotSent | End::Broken => {}
+            AttemptResult::Answered(_) | AttemptResult::NotSent | AttemptResult::Broken => {}
         }
     }
 
@@ -75,7 +75,7 @@
 
 fn quarantine_refusal(for_ms: Millis, counts: &AttemptCounts) -> Refusal {
     match counts.may_have_run() > 0 {
-        true => Refusal::unknown(Cause::UpstreamFailed),
-        false => Refusal::held_back(for_ms),
+        true => Refusal::may_have_run(Cause::UpstreamFailed),
+        false => Refusal::quarantined(for_ms),
     }
 }
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -6,15 +6,15 @@
 use super::{Reply, RoutedRequest};
 use crate::backpressure;
 use crate::connection::{Connection, ExchangeError, Expected, Response};
-use crate::event_log::{AnswerTo, LogEvent};
+use crate::event_log::{LogEvent, ResponseTo};
 use crate::http1::write_request;
 use crate::probe;
 use crate::quarantine::{self, BrokenAttempt};
-use dispatch::attempts::{Answered, Cause, End, Refusal};
+use dispatch::attempts::{AttemptResult, Cause, Refusal, ResponseSummary};
 use dispatch::backpressure::Backpressure;
 use dispatch::scheduler::Outcome;
 use domain::{Millis, UpstreamId};
-use published::{Repeat, Route};
+use published::{Idempotency, Route};
 
 /// One attempt, ready to be sent.
 struct Attempt {
@@ -87,7 +87,7 @@
                     }
                 }
                 () = self.host.clock.sleep_until(self.end_ms) => {
-                    return Err(Refusal::unknown(Cause::TimedOut));
+                    return Err(Refusal::may_have_run(Cause::TimedOut));
                 }
             }
         }
@@ -116,10 +116,12 @@
         counts.arrived += 1;
         counts.tried.push(selected.upstream.clone());
         self.progress.attempts.set(counts.sent);
-        self.progress.continues_without_caller.set(self.route().repeat == Repeat::AtMostOnce);
+        self.progress
+            .continues_without_caller
+            .set(self.route().idempotency == Idempotency::AtMostOnce);
         self.log_attempt(&selected, now_ms, counts.sent);
         if selected.placement.is_none() {
-            self.host.note_sent_rated(&selected.upstream);
+            self.host.record_rated_send(&selected.upstream);
         }
         let guard = AttemptGuard::begin(&self.host, &selected.upstream, selected.placement.take());
         let bytes = self.encode(&selected.upstream, now_ms);
@@ -127,11 +129,14 @@
     }
 
     fn log_attempt(&self, selected: &Selected, now_ms: Millis, sending: u32) {
-        self.host.metrics.sent(sending > 1);
+        self.host.metrics.attempt_sent(sending > 1);
         let (is_other_zone, warmth) = {
             let upstreams = self.host.upstreams.borrow();
             let known = upstreams.get(&selected.upstream);
-            (upstreams.is_other_zone(&selected.upstream), known.map(|known| known.warmth(now_ms)))
+            (
+                upstreams.is_in_other_zone(&selected.upstream),
+                known.map(|known| known.warmth(now_ms)),
+            )
         };
         self.host.log.write(&LogEvent::Chosen {
             id: &self.id,
@@ -176,19 +181,19 @@
         };
         let Selected { upstream, work, .. } = selected;
         let (end, answer) = match result {
-            Ok(answer) => (End::Answered(self.answered(&answer)), Some(answer)),
-            Err(ExchangeError::NotSent) => (End::NotSent, None),
+            Ok(answer) => (AttemptResult::Answered(self.answered(&answer)), Some(answer)),
+            Err(ExchangeError::NotSent) => (AttemptResult::NotSent, None),
             Err(ExchangeError::Broken | ExchangeError::TimedOut | ExchangeError::Malformed) => {
-                (End::Broken, None)
+                (AttemptResult::Broken, None)
             }
         };
         let fields = answer.as_ref().map(|answer| &answer.head.fields);
         if let Some(fields) = fields {
-            self.host.note_unread(&upstream, fields, AnswerTo::Request);
+            self.host.log_unread_headers(&upstream, fields, ResponseTo::Request);
         }
         let report = fields.and_then(|fields| probe::read_load(&self.host, fields));
         let backpressure = match (&answer, end) {
-            (Some(answer), End::Answered(answered)) => {
+            (Some(answer), AttemptResult::Answered(answered)) => {
                 backpressure::read(&self.host, &upstream, &answer.head, answered)
             }
             _ => Backpressure::default(),
@@ -202,7 +207,7 @@
         let entry = guard.entry();
         guard.end(&self.service, work, Outcome { failure, took_ms, report, backpressure });
         let has_crashed = match entry {
-            Some(upstream) if end == End::Broken => {
+            Some(upstream) if end == AttemptResult::Broken => {
                 let fingerprint = self.fingerprint();
                 let broken = BrokenAttempt { fingerprint, upstream, sent_ms, broke_ms };
                 // A failed task is a fault in this process, not evidence of a crash.
@@ -213,13 +218,17 @@
         EndedAttempt { upstream, end, answer, sent_ms, has_crashed, is_trial }
     }
 
-    fn answered(&self, answer: &Response) -> Answered {
+    fn answered(&self, answer: &Response) -> ResponseSummary {
         let fields = &answer.head.fields;
         let dialect = &self.host.dialect;
         let status = answer.head.status;
         let not_run = status == 421 || fields.get(dialect.not_run).is_some();
         let is_plain = fields.get("content-encoding").is_none();
-        Answered { status, not_run, is_sealed: fields.get(dialect.seal).is_some() && is_plain }
+        ResponseSummary {
+            status,
+            not_run,
+            is_sealed: fields.get(dialect.seal).is_some() && is_plain,
+        }
     }
 }
 
--- a/crates/gateway/src/serve/attempt_guard.rs
+++ b/crates/gateway/src/serve/attempt_guard.rs
@@ -4,7 +4,7 @@
 use crate::host::Host;
 use crate::placement::PlacementGuard;
 use crate::probe;
-use dispatch::SendFailure;
+use dispatch::AttemptFailure;
 use dispatch::backpressure::Backpressure;
 use dispatch::scheduler::Outcome;
 use domain::{Millis, ServiceName, UpstreamId};
@@ -47,7 +47,7 @@
         let attempt =
             AttemptGuard { host, upstream, entry, run, begun_ms, placement, is_ended: false };
         match attempt.host.upstreams.borrow_mut().get_mut(&attempt.upstream) {
-            Some(known) if attempt.updates_own_state() => known.note_sent(begun_ms),
+            Some(known) if attempt.updates_own_state() => known.record_sent(begun_ms),
             _ => {}
         }
         attempt
@@ -65,7 +65,7 @@
             return std::future::pending().await;
         }
         loop {
-            let news = self.host.news.notified();
+            let news = self.host.state_updated.notified();
             if self.host.upstreams.borrow().has_restarted(&self.upstream, self.run) {
                 return;
             }
@@ -83,7 +83,7 @@
             self.record_end(outcome);
             if outcome.failure.is_none() {
                 let mut upstreams = self.host.upstreams.borrow_mut();
-                upstreams.note_duration(service, outcome.took_ms, work);
+                upstreams.record_duration(service, outcome.took_ms, work);
             }
         }
         if let Some(placement) = self.placement.take() {
@@ -99,7 +99,7 @@
         let now_ms = self.host.now_ms();
         let mut upstreams = self.host.upstreams.borrow_mut();
         if let Some(known) = upstreams.get_run_mut(&self.upstream, self.run) {
-            known.note_ended(now_ms, outcome.failure);
+            known.record_ended(now_ms, outcome.failure);
         }
     }
 
@@ -112,7 +112,7 @@
     fn withdraw(&mut self) {
         let took_ms = self.host.now_ms().since(self.begun_ms);
         if took_ms > UNRESPONSIVE_MS {
-            let failure = Some(SendFailure::Silent);
+            let failure = Some(AttemptFailure::TimedOut);
             let outcome =
                 Outcome { failure, took_ms, report: None, backpressure: Backpressure::default() };
             if self.updates_own_state() {
@@ -125,7 +125,7 @@
             // A placement is released when its guard is dropped.
             let mut upstreams = self.host.upstreams.borrow_mut();
             if let Some(known) = upstreams.get_run_mut(&self.upstream, self.run) {
-                known.note_withdrawn();
+                known.record_withdrawn();
             }
         }
     }
--- a/crates/gateway/src/serve/selection.rs
+++ b/crates/gateway/src/serve/selection.rs
@@ -8,12 +8,12 @@
 use super::attempt::AttemptCounts;
 use crate::connection::Connection;
 use crate::event_log::{ChosenBy, LogEvent};
-use crate::host::duration;
-use crate::placement::{self, Placement, PlacementGuard};
+use crate::host::to_duration;
+use crate::placement::{self, PlacementGuard, PlacementResult};
 use crate::probe::{self, Chosen};
 use dispatch::attempts::{Cause, Refusal};
-use dispatch::scheduler::{Cell, Place, RefusalCause, Submission, Ticket};
-use dispatch::{DeadlineCheck, Offer, Verdict};
+use dispatch::scheduler::{Cell, Placement, RefusalCause, Submission, Ticket};
+use dispatch::{DeadlineCheck, LatencyEstimate, Verdict};
 use domain::{Millis, UpstreamId, ZoneName};
 
 /// If selecting and connecting took longer than this, the caller's connection is checked again.
@@ -48,7 +48,7 @@
         &self,
         counts: &mut AttemptCounts,
     ) -> Result<(Selected, Connection), Refusal> {
-        let left = self.host.clock.until(self.end_ms);
+        let left = self.host.clock.time_until(self.end_ms);
         match clock::timeout(left, self.select(counts)).await {
             Ok(selected) => selected,
             Err(_) => Err(deadline_refusal(counts)),
@@ -64,14 +64,16 @@
             let Some(mut selected) = selected else { break };
             let connection = match selected.connection.take() {
                 Some(connection) => Some(connection),
-                None => probe::connect(&self.host, &selected.upstream, self.route().repeat).await,
+                None => {
+                    probe::connect(&self.host, &selected.upstream, self.route().idempotency).await
+                }
             };
             if self.host.now_ms().since(begun_ms) > STALE_SELECTION_MS {
                 self.check_caller().await;
             }
             match connection {
                 Some(connection) if self.may_send(&selected) => {
-                    if probe::is_trusted(&connection, self.route().repeat) {
+                    if probe::is_trusted(&connection, self.route().idempotency) {
                         return Ok((selected, connection));
                     }
                     self.host.pool.borrow_mut().put(&selected.upstream, connection);
@@ -93,18 +95,20 @@
         let upstreams = self.host.upstreams.borrow();
         let is_allowed = match selected.placement {
             // The scheduler has already counted the request against the upstream's rate limit.
-            Some(_) => upstreams.backs_off(self.host.now_ms(), &selected.upstream).is_none(),
+            Some(_) => {
+                upstreams.remaining_backoff(self.host.now_ms(), &selected.upstream).is_none()
+            }
             None => self.host.may_send(&upstreams, &selected.upstream),
         };
-        upstreams.takes_work(&selected.upstream) && is_allowed
+        upstreams.accepts_requests(&selected.upstream) && is_allowed
     }
 
     fn no_upstream_refusal(&self, counts: &AttemptCounts) -> Refusal {
         let upstreams = self.host.upstreams.borrow();
-        let free_in_ms = upstreams.free_in(self.host.now_ms(), &self.service);
+        let free_in_ms = upstreams.next_request_in(self.host.now_ms(), &self.service);
         match (counts.may_have_run() > 0, free_in_ms) {
-            (true, _) => Refusal::unknown(Cause::UpstreamFailed),
-            (false, Some(free_in_ms)) => Refusal::limited(free_in_ms),
+            (true, _) => Refusal::may_have_run(Cause::UpstreamFailed),
+            (false, Some(free_in_ms)) => Refusal::rate_limited(free_in_ms),
             (false, None) if upstreams.is_evacuated(&self.service) => {
                 Refusal::not_run(Cause::ZonesEvacuated)
             }
@@ -123,13 +127,13 @@
             return Ok(Some(local));
         }
         match self.place(counts).await {
-            Placement::Placed(placement, place) => {
-                Ok(Some(self.selected_by_scheduler(placement, place, begun_ms)))
+            PlacementResult::Placed(guard, placement) => {
+                Ok(Some(self.selected_by_scheduler(guard, placement, begun_ms)))
             }
-            Placement::Refused(RefusalCause::NoRoom { retry_after_ms, ahead }) => {
+            PlacementResult::Refused(RefusalCause::NoRoom { retry_after_ms, ahead }) => {
                 Err(self.no_capacity_refusal(retry_after_ms, ahead, counts))
             }
-            Placement::Refused(RefusalCause::NoUpstream) | Placement::Unanswered => {
+            PlacementResult::Refused(RefusalCause::NoUpstream) | PlacementResult::Unanswered => {
                 self.probe(begun_ms, counts).await
             }
         }
@@ -147,19 +151,19 @@
 
     /// Has the scheduler of the local availability zone place the request, or that of another
     /// zone if the local one has no capacity.
-    async fn place(&self, counts: &AttemptCounts) -> Placement {
+    async fn place(&self, counts: &AttemptCounts) -> PlacementResult {
         if self.host.is_partial() {
-            return Placement::Unanswered;
+            return PlacementResult::Unanswered;
         }
         let zone = self.host.settings.borrow().availability_zone.clone();
         let cell = {
             let (upstreams, mut rng) = (self.host.upstreams.borrow(), self.host.rng.borrow_mut());
-            Cell::of(&self.service, &zone, &upstreams, &mut rng)
+            Cell::for_request(&self.service, &zone, &upstreams, &mut rng)
         };
         let first_zone = cell.zone.clone();
         let placement = placement::place(&self.host, cell, self.submission(&zone, counts)).await;
         // The zone has no capacity, or no upstream that can be reached.
-        let has_no_room = matches!(placement, Placement::Refused(_));
+        let has_no_room = matches!(placement, PlacementResult::Refused(_));
         match first_zone.and_then(|first| self.other_zone(&first)) {
             Some(other) if has_no_room => {
                 let cell = Cell { service: self.service.clone(), zone: Some(other) };
@@ -185,7 +189,7 @@
         let age_ms = now_ms.since(self.request.arrived_ms);
         let left_ms = self.end_ms.since(now_ms);
         let (zone, tried) = (zone.clone(), counts.tried.clone());
-        let backing_off = self.host.upstreams.borrow().backing_off(now_ms, &self.service);
+        let backing_off = self.host.upstreams.borrow().upstreams_in_backoff(now_ms, &self.service);
         move |ticket, cell| Submission {
             ticket,
             cell,
@@ -196,24 +200,24 @@
             left_ms,
             tried,
             backing_off,
-            lends: false,
+            lends_rate_share: false,
         }
     }
 
     fn selected_by_scheduler(
         &self,
-        placement: PlacementGuard,
-        place: Place,
+        guard: PlacementGuard,
+        placement: Placement,
         begun_ms: Millis,
     ) -> Selected {
-        let Place { upstream, work, cost, report_age_ms, ahead } = place;
+        let Placement { upstream, work, cost, report_age_ms, ahead } = placement;
         let (work, cost) = (f64::from(work), f64::from(cost));
         let by = ChosenBy::Scheduler {
-            scheduler: placement.scheduler().clone(),
-            ticket: placement.ticket(),
+            scheduler: guard.scheduler().clone(),
+            ticket: guard.ticket(),
             ahead,
         };
-        let placement = Some(placement);
+        let placement = Some(guard);
         Selected { upstream, placement, work, cost, report_age_ms, begun_ms, by, connection: None }
     }
 
@@ -225,7 +229,7 @@
     ) -> Refusal {
         self.host.log.write(&LogEvent::Unplaced { id: &self.id, ahead, retry_after_ms });
         match counts.may_have_run() > 0 {
-            true => Refusal::unknown(Cause::UpstreamFailed),
+            true => Refusal::may_have_run(Cause::UpstreamFailed),
             false => Refusal::overloaded(retry_after_ms),
         }
     }
@@ -242,10 +246,10 @@
             self.check_time(now_ms, counts)?;
             let Some(chosen) = chosen else { return Ok(None) };
             match self.weigh(now_ms, &chosen, counts) {
-                Verdict::Take => return Ok(Some(self.selected_by_probe(chosen, begun_ms))),
-                Verdict::AskAgain(pause_ms) => {
+                Verdict::Send => return Ok(Some(self.selected_by_probe(chosen, begun_ms))),
+                Verdict::ProbeAgain(pause_ms) => {
                     chosen.put_back(&self.host);
-                    clock::sleep(duration(pause_ms)).await;
+                    clock::sleep(to_duration(pause_ms)).await;
                 }
                 Verdict::Refuse => return Err(Refusal::not_run(Cause::Overloaded)),
             }
@@ -273,7 +277,7 @@
     /// delayed or refused: a retry has already lost time.
     fn weigh(&self, now_ms: Millis, chosen: &Chosen, counts: &AttemptCounts) -> Verdict {
         if counts.sent > 0 {
-            return Verdict::Take;
+            return Verdict::Send;
         }
         let check = DeadlineCheck {
             arrived_ms: self.request.arrived_ms,
@@ -281,8 +285,8 @@
             end_ms: self.end_ms,
         };
         let expected_ms = self.host.upstreams.borrow().expected_ms(&self.service, chosen.work);
-        let verdict = check.weigh(now_ms, Offer { expected_ms });
-        if verdict != Verdict::Take {
+        let verdict = check.check(now_ms, LatencyEstimate { expected_ms });
+        if verdict != Verdict::Send {
             self.host.log.write(&LogEvent::Declined {
                 id: &self.id,
                 upstream: &chosen.upstream,
@@ -315,7 +319,7 @@
 
 fn deadline_refusal(counts: &AttemptCounts) -> Refusal {
     match counts.may_have_run() > 0 {
-        true => Refusal::unknown(Cause::TimedOut),
+        true => Refusal::may_have_run(Cause::TimedOut),
         false => Refusal::not_run(Cause::Expired),
     }
 }
--- a/crates/gateway/tests/codec.rs
+++ b/crates/gateway/tests/codec.rs
@@ -5,7 +5,7 @@
 use dispatch::scheduler::{Cell, PlacementMessage, Submission, Ticket};
 use domain::{Incarnation, Millis, RequestFingerprint};
 use gateway::peers::codec::{CodecError, Datagram, decode, encode};
-use published::{Capacity, Greeting, Held, Member, Message, Revision, RunStart};
+use published::{Capacity, HelloKind, KnownRevisions, Member, Message, Revision, RunStart};
 use rstest::rstest;
 
 fn hello() -> Message {
@@ -16,14 +16,14 @@
         address: "127.0.0.1:7000".parse().unwrap(),
         capacity: Capacity::default(),
     };
-    Message::Hello { from, greeting: Greeting::Asking, digest: 99 }
+    Message::Hello { from, kind: HelloKind::Request, members_digest: 99 }
 }
 
 #[test]
 fn what_was_written_is_read() {
     assert_eq!(decode::<Message>(&encode(&hello()).unwrap()), Ok(hello()));
-    let held = Held { revision: Revision(12), routing: Some(Revision(3)) };
-    assert_eq!(decode::<Held>(&encode(&held).unwrap()), Ok(held));
+    let held = KnownRevisions { revision: Revision(12), routing: Some(Revision(3)) };
+    assert_eq!(decode::<KnownRevisions>(&encode(&held).unwrap()), Ok(held));
 }
 
 #[rstest]
@@ -56,7 +56,7 @@
         left_ms: Millis(1_200),
         tried: Vec::new(),
         backing_off: Vec::new(),
-        lends: true,
+        lends_rate_share: true,
     };
     let datagram = Datagram::Placement(PlacementMessage::Submit(submission));
     let bytes = encode(&datagram).unwrap();
@@ -77,10 +77,10 @@
             sent_ms: Millis(number * 1_000),
             crashed_ms: Millis(number * 1_000 + 60),
         };
-        quarantine.note_crash(RequestFingerprint(u128::MAX / 3), crash);
+        quarantine.record_crash(RequestFingerprint(u128::MAX / 3), crash);
     }
-    let suspects = quarantine.take_untold(Millis(4_000)).unwrap();
-    let told = QuarantineMessage::Suspects { suspects, passes_on: true };
+    let suspects = quarantine.take_pending(Millis(4_000)).unwrap();
+    let told = QuarantineMessage::Suspects { suspects, should_relay: true };
     let bytes = encode(&Datagram::Quarantine(told.clone())).unwrap();
     println!("{} bytes", bytes.len());
     assert!(bytes.len() < 200, "{}", bytes.len());
--- a/crates/published/src/gossip/effect.rs
+++ b/crates/published/src/gossip/effect.rs
@@ -1,116 +1,116 @@
-//! What follows from a message or a reading.
+//! What the caller has to do after a message, a read or the passage of time.
 
-use super::{Message, News};
-use crate::{Belief, CatchUp, Held, Member, Revision};
+use super::{Message, StateUpdate};
+use crate::{CatchUp, KnownRevisions, Member, Revision, StateChange};
 use domain::{HostId, Millis};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What is to be done, or to be logged.
+/// An action for the caller, or a fact for its log.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Send this.
+    /// Send a message.
     Send {
-        /// What.
+        /// The message.
         message: Message,
-        /// To whom.
+        /// Its recipients.
         to: Vec<SocketAddr>,
     },
-    /// Ask for what is missing, then hand it to [`Gossip::take_told`].
+    /// Fetch what is missing, then call [`Gossip::finish_fetch`].
     Fetch(Fetch),
-    /// Something else is believed, or the same was confirmed.
-    Believed {
-        /// What changed; nothing if it was confirmed.
-        beliefs: Vec<Belief>,
-        /// Where it comes from.
+    /// The published state changed or was confirmed.
+    StateUpdated {
+        /// The changes; empty if the state was only confirmed.
+        state_changes: Vec<StateChange>,
+        /// Where they came from.
         from: Origin,
     },
-    /// What a fetch came to.
-    Fetched {
-        /// Whom it was asked of.
+    /// A fetch ended.
+    FetchEnded {
+        /// The host that answered, or the last one that was asked.
         from: Origin,
-        /// What it told; none if it did not answer.
+        /// The revision of the answer; `None` if no host answered.
         revision: Option<Revision>,
-        /// Whether all entries were told, or only what changed.
-        is_whole: bool,
+        /// Whether the answer was a full snapshot rather than changes.
+        is_full: bool,
     },
-    /// Hosts were heard of for the first time, or in a new run.
-    PeersHeard(Vec<HostId>),
-    /// Have more hosts answered that join, by [`Gossip::answer_more`], after this time.
-    AnswerWaiting {
-        /// The time.
-        after_ms: Millis,
+    /// Hosts, or new runs of hosts, were seen for the first time.
+    PeersDiscovered(Vec<HostId>),
+    /// Call [`Gossip::answer_pending_joins`] after this delay.
+    AnswerPendingJoins {
+        /// The delay.
+        delay_ms: Millis,
     },
-    /// Have those logged and announced that joined, by [`Gossip::announce`], after this time.
-    Announce {
-        /// The time.
-        after_ms: Millis,
+    /// Call [`Gossip::announce_joined`] after this delay.
+    AnnounceJoined {
+        /// The delay.
+        delay_ms: Millis,
     },
-    /// A host left or was silent for long.
-    PeerGone(HostId),
+    /// A host left, or was silent for too long.
+    PeerRemoved(HostId),
 }
 
-/// Where a change of belief comes from.
+/// Where a change of the published state comes from.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Origin {
     /// This host read it.
     Source,
-    /// A peer told it.
+    /// A peer sent it.
     Peer(HostId),
-    /// A host that is not known told it.
-    Stranger,
-    /// Time has passed.
-    Time,
+    /// A host that is not a known member sent it.
+    UnknownPeer,
+    /// A grace period ended.
+    Expiry,
 }
 
 impl Origin {
-    /// Its name in logs.
+    /// The name used in logs.
     pub fn as_str(&self) -> &str {
         match self {
             Origin::Source => "source",
             Origin::Peer(host) => host.as_str(),
-            Origin::Stranger => "unknown",
-            Origin::Time => "time",
+            Origin::UnknownPeer => "unknown",
+            Origin::Expiry => "time",
         }
     }
 
     pub(super) fn of(host: Option<&HostId>) -> Origin {
-        host.cloned().map_or(Origin::Stranger, Origin::Peer)
+        host.cloned().map_or(Origin::UnknownPeer, Origin::Peer)
     }
 }
 
-/// A question for what is missing.
+/// A fetch of what is missing.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fetch {
-    /// Whom to ask, one after the other until one answers.
+    /// Hosts to ask, one after the other until one answers.
     pub from: Vec<SocketAddr>,
-    /// What is asked.
-    pub question: Question,
-    /// When to begin: whom to ask is being told itself.
-    pub after_ms: Millis,
+    /// The request to send.
+    pub request: FetchRequest,
+    /// Delay before the first request: the hosts may still be receiving the snapshot themselves.
+    pub delay_ms: Millis,
     pub(super) begun_ms: Millis,
-    /// What is to be passed on once nothing is missing.
-    pub(super) passed_on: Option<News>,
+    /// An update to relay once the fetch has ended.
+    pub(super) pending_update: Option<StateUpdate>,
 }
 
-/// What a host asks that misses something.
+/// A request for what a host lacks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
-    /// What it holds.
-    pub held: Held,
-    /// Who holds less than this is no help.
-    pub wanted: Revision,
-    /// Digest of the hosts that it knows.
-    pub members: u64,
+pub struct FetchRequest {
+    /// The revisions that the host has.
+    pub known: KnownRevisions,
+    /// A peer with a smaller revision doesn't answer.
+    pub min_revision: Revision,
+    /// Digest of the members that the host knows.
+    pub members_digest: u64,
 }
 
-/// The answer to a [`Fetch`].
+/// The answer to a [`FetchRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FetchReply {
-    /// Age of the reading.
+    /// Time since the peer's state was last confirmed.
     pub age_ms: Millis,
-    /// What the asking host lacked.
+    /// What the requesting host lacked.
     pub catch_up: CatchUp,
-    /// Hosts that the peer knows; none if both know the same.
+    /// The members that the peer knows; empty if both know the same.
     pub members: Vec<Member>,
 }
--- a/crates/published/src/gossip/joining.rs
+++ b/crates/published/src/gossip/joining.rs
@@ -11,7 +11,7 @@
 
 pub(super) use answering::JoinState;
 
-use super::{Effect, Fetch, Gossip, Message, Origin, Question};
+use super::{Effect, Fetch, FetchRequest, Gossip, Message, Origin};
 use crate::{BootstrapSnapshot, Entry, Item, Member, Revision};
 use domain::{HostId, Millis};
 use rand::seq::IndexedRandom;
@@ -35,7 +35,7 @@
     /// Who answers.
     pub from: Member,
     /// Hosts that it knows.
-    pub hosts: u32,
+    pub host_count: u32,
     /// What it tells of the picture.
     pub bootstrap: Bootstrap,
 }
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Bootstrap {
     /// Nothing yet.
-    NotYet {
+    NotReady {
         /// Whether the source is being read there.
         is_reading: bool,
     },
@@ -54,7 +54,7 @@
         to: SocketAddr,
     },
     /// All of it.
-    Whole(BootstrapSnapshot),
+    Complete(BootstrapSnapshot),
     /// What to begin with, and where the rest is to be had.
     Partial {
         /// What to begin with.
@@ -71,8 +71,8 @@
     pub fn without_items(&self) -> JoinReply {
         let own = self.from.address;
         let bootstrap = match &self.bootstrap {
-            Bootstrap::NotYet { .. } | Bootstrap::Redirect { .. } => self.bootstrap.clone(),
-            Bootstrap::Whole(snapshot) => Bootstrap::Partial {
+            Bootstrap::NotReady { .. } | Bootstrap::Redirect { .. } => self.bootstrap.clone(),
+            Bootstrap::Complete(snapshot) => Bootstrap::Partial {
                 snapshot: snapshot.without_items(),
                 rest_from: vec![own],
                 after_ms: Millis::ZERO,
@@ -90,9 +90,9 @@
 impl Gossip {
     /// Whether this host still has to find somebody who tells it the picture, or knows nobody.
     pub fn is_joining(&self, now_ms: Millis) -> bool {
-        match self.picture.confirmed_ms() {
+        match self.state.confirmed_ms() {
             Some(_) => self.members.count() <= 1,
-            None => !(self.picture.is_partial() && self.is_being_told(now_ms)),
+            None => !(self.state.is_partial() && self.is_bootstrap_pending(now_ms)),
         }
     }
 
@@ -104,77 +104,83 @@
         }
         // Hosts that start together don't all ask the same.
         let first = self.members.own().seed() as usize;
-        let seed = seeds[first.wrapping_add(self.seeds_asked) % seeds.len()];
-        self.seeds_asked += 1;
+        let seed = seeds[first.wrapping_add(self.joins_sent) % seeds.len()];
+        self.joins_sent += 1;
         let from = self.members.own().clone();
         self.send(Message::Join { from, is_redirected: false }, vec![seed], &mut effects);
         effects
     }
 
     /// Takes the beginning of a whole reading of its own: enough to serve, and to help others to.
-    pub fn take_page(&mut self, now_ms: Millis, items: Vec<Entry<Item>>) -> Vec<Effect> {
-        let beliefs = self.picture.take_items(items);
-        let mut effects = vec![Effect::Believed { beliefs, from: Origin::Source }];
-        if self.picture.is_partial() {
-            self.answer_waiting(now_ms, &mut effects);
+    pub fn apply_partial_items(&mut self, now_ms: Millis, items: Vec<Entry<Item>>) -> Vec<Effect> {
+        let state_changes = self.state.apply_items(items);
+        let mut effects = vec![Effect::StateUpdated { state_changes, from: Origin::Source }];
+        if self.state.is_partial() {
+            self.answer_next_joins(now_ms, &mut effects);
         }
         effects
     }
 
-    pub(super) fn take_join_reply(
+    pub(super) fn handle_join_reply(
         &mut self,
         now_ms: Millis,
         reply: JoinReply,
         effects: &mut Vec<Effect>,
     ) {
-        let JoinReply { from, hosts, bootstrap } = reply;
+        let JoinReply { from, host_count, bootstrap } = reply;
         let teller = from.host.clone();
-        self.note(now_ms, from, effects);
-        self.members.note_answer(&teller);
-        self.members.note_fleet(now_ms, hosts);
-        if self.picture.confirmed_ms().is_some() {
+        self.record_member(now_ms, from, effects);
+        self.members.record_response(&teller);
+        self.members.record_fleet_size(now_ms, host_count);
+        if self.state.confirmed_ms().is_some() {
             return;
         }
         match bootstrap {
-            Bootstrap::NotYet { is_reading: true } => self.promise(now_ms, READING_MS),
-            Bootstrap::NotYet { is_reading: false } => self.promise(now_ms, NOT_READING_MS),
+            Bootstrap::NotReady { is_reading: true } => {
+                self.extend_bootstrap_wait(now_ms, READING_MS)
+            }
+            Bootstrap::NotReady { is_reading: false } => {
+                self.extend_bootstrap_wait(now_ms, NOT_READING_MS)
+            }
             Bootstrap::Redirect { to } => {
-                self.promise(now_ms, READING_MS);
+                self.extend_bootstrap_wait(now_ms, READING_MS);
                 let from = self.members.own().clone();
                 self.send(Message::Join { from, is_redirected: true }, vec![to], effects);
             }
-            Bootstrap::Whole(snapshot) => self.take_bootstrap(now_ms, teller, snapshot, effects),
+            Bootstrap::Complete(snapshot) => {
+                self.apply_bootstrap(now_ms, teller, snapshot, effects)
+            }
             // Two that read and tell each other what they have so far must not both wait.
             Bootstrap::Partial { snapshot, .. } if self.joins.is_reading() => {
-                self.take_bootstrap(now_ms, teller, snapshot, effects);
+                self.apply_bootstrap(now_ms, teller, snapshot, effects);
             }
             Bootstrap::Partial { snapshot, rest_from, after_ms } => {
-                self.promise(now_ms, REST_MS);
+                self.extend_bootstrap_wait(now_ms, REST_MS);
                 let wanted = snapshot.revision;
-                self.take_bootstrap(now_ms, teller, snapshot, effects);
+                self.apply_bootstrap(now_ms, teller, snapshot, effects);
                 self.fetch_rest(now_ms, wanted, (rest_from, after_ms), effects);
             }
         }
     }
 
     /// Something of the first picture is on its way; promises don't go on for ever.
-    pub(super) fn promise(&mut self, now_ms: Millis, for_ms: Millis) {
-        let first_ms = *self.promised_ms.get_or_insert(now_ms);
+    pub(super) fn extend_bootstrap_wait(&mut self, now_ms: Millis, for_ms: Millis) {
+        let first_ms = *self.promised_at_ms.get_or_insert(now_ms);
         let until_ms = (now_ms + for_ms).min(first_ms + REST_MS);
-        self.promised_until_ms = self.promised_until_ms.max(until_ms);
+        self.wait_until_ms = self.wait_until_ms.max(until_ms);
     }
 
-    fn take_bootstrap(
+    fn apply_bootstrap(
         &mut self,
         now_ms: Millis,
         teller: HostId,
         snapshot: BootstrapSnapshot,
         effects: &mut Vec<Effect>,
     ) {
-        let beliefs = self.picture.take_bootstrap(now_ms - snapshot.age_ms, snapshot);
-        effects.push(Effect::Believed { beliefs, from: Origin::Peer(teller) });
-        if self.picture.can_bootstrap() {
-            self.answer_waiting(now_ms, effects);
+        let state_changes = self.state.apply_bootstrap(now_ms - snapshot.age_ms, snapshot);
+        effects.push(Effect::StateUpdated { state_changes, from: Origin::Peer(teller) });
+        if self.state.can_bootstrap() {
+            self.answer_next_joins(now_ms, effects);
         }
     }
 
@@ -182,23 +188,23 @@
     pub(super) fn fetch_from_any(&mut self, now_ms: Millis, effects: &mut Vec<Effect>) {
         let others: Vec<SocketAddr> = self.members.others().map(|m| m.address).collect();
         let Some(&any) = others.choose(&mut self.rng) else { return };
-        let from = self.tellers(any);
-        self.fetch_rest(now_ms, self.picture.revision(), (from, Millis::ZERO), effects);
+        let from = self.fetch_candidates(any);
+        self.fetch_rest(now_ms, self.state.revision(), (from, Millis::ZERO), effects);
     }
 
     fn fetch_rest(
         &mut self,
         now_ms: Millis,
-        wanted: Revision,
-        (from, after_ms): (Vec<SocketAddr>, Millis),
+        min_revision: Revision,
+        (from, delay_ms): (Vec<SocketAddr>, Millis),
         effects: &mut Vec<Effect>,
     ) {
         if self.is_fetching {
             return;
         }
-        let (held, members) = (self.picture.held(), self.members.digest());
-        let question = Question { held, wanted, members };
-        let fetch = Fetch { from, question, after_ms, begun_ms: now_ms, passed_on: None };
+        let (known, members_digest) = (self.state.known_revisions(), self.members.digest());
+        let request = FetchRequest { known, min_revision, members_digest };
+        let fetch = Fetch { from, request, delay_ms, begun_ms: now_ms, pending_update: None };
         self.begin_fetch(now_ms, fetch, effects);
     }
 }
--- a/crates/published/src/members/telling.rs
+++ b/crates/published/src/members/recipients.rs
@@ -21,16 +21,16 @@
 
 /// A host that is to be told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Listener {
+pub struct Recipient {
     /// Where it hears its peers.
     pub address: SocketAddr,
     /// Whether it is to pass the news on in its availability zone, and to answer.
-    pub passes_on: bool,
+    pub should_relay: bool,
 }
 
 impl Members {
     /// Whom a reader tells.
-    pub fn listeners(&mut self, now_ms: Millis) -> Vec<Listener> {
+    pub fn recipients(&mut self, now_ms: Millis) -> Vec<Recipient> {
         let own_zone = self.own.availability_zone.clone();
         let mut zones: FastMap<ZoneName, Vec<&mut Known>> = FastMap::default();
         for known in self.others.values_mut() {
@@ -40,26 +40,26 @@
             true => hosts.iter().map(|known| known.listener(false)).collect(),
             false => tell_zone(now_ms, hosts),
         };
-        let told: Vec<Listener> = zones.into_iter().flat_map(tell).collect();
-        let leaving = self.leaving_neighbours();
-        let leaving = leaving.map(|address| Listener { address, passes_on: false });
+        let told: Vec<Recipient> = zones.into_iter().flat_map(tell).collect();
+        let leaving = self.leaving_local_zone_peers();
+        let leaving = leaving.map(|address| Recipient { address, should_relay: false });
         told.into_iter().chain(leaving).collect()
     }
 
     /// Hosts of this host's availability zone that said farewell and serve on for a while.
-    pub fn leaving_neighbours(&self) -> impl Iterator<Item = SocketAddr> {
+    pub fn leaving_local_zone_peers(&self) -> impl Iterator<Item = SocketAddr> {
         let near = self.leaving.values().filter(|(member, _)| self.is_near(member));
         near.map(|(member, _)| member.address)
     }
 
     /// The other hosts of this host's availability zone.
-    pub fn neighbours(&self) -> Vec<SocketAddr> {
+    pub fn local_zone_peers(&self) -> Vec<SocketAddr> {
         let near = self.others().filter(|member| self.is_near(member));
         near.map(|member| member.address).collect()
     }
 }
 
-fn tell_zone(now_ms: Millis, mut hosts: Vec<&mut Known>) -> Vec<Listener> {
+fn tell_zone(now_ms: Millis, mut hosts: Vec<&mut Known>) -> Vec<Recipient> {
     if hosts.len() <= RELAYS {
         return hosts.iter().map(|known| known.listener(false)).collect();
     }
@@ -72,8 +72,8 @@
 }
 
 impl Known {
-    fn listener(&self, passes_on: bool) -> Listener {
-        Listener { address: self.member.address, passes_on }
+    fn listener(&self, should_relay: bool) -> Recipient {
+        Recipient { address: self.member.address, should_relay }
     }
 
     fn is_silent(&self, now_ms: Millis) -> bool {
--- a/crates/published/src/reading.rs
+++ b/crates/published/src/reading.rs
@@ -9,9 +9,9 @@
 
 mod start;
 
-pub use start::{Start, covers_services};
+pub use start::{StartConditions, covers_services};
 
-use crate::{Members, Picture};
+use crate::{Members, PublishedState};
 use domain::Millis;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -19,11 +19,11 @@
 
 /// Hosts that read for all. A second one, so that the loss of one is no gap, cost 0.6% of
 /// a quiet day in calls and bytes; the gap stays within the bound without it.
-pub const READERS: usize = 1;
+pub const ACTIVE_READERS: usize = 1;
 
 /// How long a reader waits at the source for news. A reader can't tell a cut from calm
 /// before this is over; each halving doubles the price of reading.
-pub const WATCH_MS: Millis = Millis(700);
+pub const LONG_POLL_MS: Millis = Millis(700);
 
 /// How old a picture grows before a host reads for itself: one wait at the source, the
 /// way, and a lost datagram's worth of slack.
@@ -66,9 +66,9 @@
     /// Read the routing and a sample of the upstreams.
     Sample,
     /// Read as much as one call brings.
-    First,
+    FirstPage,
     /// Read everything.
-    Whole,
+    Snapshot,
     /// Read what changed, and wait at the source for so long if nothing did.
     Changes(Millis),
 }
@@ -99,7 +99,7 @@
 
 impl Reader {
     /// A host that has just started.
-    pub fn new(mut rng: Pcg64Mcg, now_ms: Millis, start: Start) -> Reader {
+    pub fn new(mut rng: Pcg64Mcg, now_ms: Millis, start: StartConditions) -> Reader {
         let waits = start.waits(&mut rng);
         Reader {
             rng,
@@ -122,7 +122,7 @@
     }
 
     /// When it tries again while the source is away for all; none while it is not.
-    pub fn held_until_ms(&self) -> Option<Millis> {
+    pub fn outage_retry_ms(&self) -> Option<Millis> {
         self.hold.map(|hold| hold.until_ms)
     }
 
@@ -131,33 +131,33 @@
         &mut self,
         now_ms: Millis,
         members: &Members,
-        picture: &Picture,
+        state: &PublishedState,
         is_wanted: bool,
     ) -> ReadStep {
         let samples = is_wanted && self.may_sample && !self.has_first;
-        let due_ms = match picture.confirmed_ms() {
+        let due_ms = match state.confirmed_ms() {
             None if samples => self.started_ms + SAMPLE_WAIT_MS,
-            _ => self.due_ms(now_ms, members, picture),
+            _ => self.due_ms(now_ms, members, state),
         };
-        let due_ms = due_ms.max(self.not_before_ms).max(self.hold(now_ms, members, picture));
+        let due_ms = due_ms.max(self.not_before_ms).max(self.hold(now_ms, members, state));
         if due_ms > now_ms {
             return ReadStep::Wait(due_ms);
         }
         self.is_reading = true;
         self.hold = None;
-        match picture.confirmed_ms() {
+        match state.confirmed_ms() {
             None if samples => ReadStep::Sample,
-            None if !self.has_first => ReadStep::First,
-            None => ReadStep::Whole,
-            Some(_) if self.needs_whole => ReadStep::Whole,
+            None if !self.has_first => ReadStep::FirstPage,
+            None => ReadStep::Snapshot,
+            Some(_) if self.needs_whole => ReadStep::Snapshot,
             // Who steps in for a silent reader tells the others at once that it has.
             Some(at_ms) if now_ms.since(at_ms) >= PATIENCE_MS => ReadStep::Changes(Millis::ZERO),
-            Some(_) => ReadStep::Changes(WATCH_MS),
+            Some(_) => ReadStep::Changes(LONG_POLL_MS),
         }
     }
 
     /// The first call brought something, but not all; true if this host reads on at once.
-    pub fn began(&mut self) -> bool {
+    pub fn first_page_succeeded(&mut self) -> bool {
         self.failures = 0;
         self.has_first = true;
         let reads_on = self.rest_wait_ms == Millis::ZERO;
@@ -167,7 +167,7 @@
     }
 
     /// The sample holds upstreams of all services, or too few to serve with.
-    pub fn sampled(&mut self, is_enough: bool) {
+    pub fn sample_succeeded(&mut self, is_enough: bool) {
         self.failures = 0;
         self.may_sample = false;
         self.is_reading = false;
@@ -192,22 +192,22 @@
     }
 
     /// Changes were missed: the next reading is a whole one.
-    pub fn needs_whole(&mut self) {
+    pub fn require_snapshot(&mut self) {
         self.needs_whole = true;
     }
 
-    fn due_ms(&mut self, now_ms: Millis, members: &Members, picture: &Picture) -> Millis {
-        let Some(confirmed_ms) = picture.confirmed_ms() else {
+    fn due_ms(&mut self, now_ms: Millis, members: &Members, state: &PublishedState) -> Millis {
+        let Some(confirmed_ms) = state.confirmed_ms() else {
             let rest_ms = if self.has_first { self.rest_wait_ms } else { Millis::ZERO };
             return self.started_ms + self.start_wait_ms + rest_ms;
         };
         let rank = members.reader_rank();
-        let has_better = members.better_readers(now_ms) >= READERS;
+        let has_better = members.active_preferred_readers(now_ms) >= ACTIVE_READERS;
         if has_better {
             self.is_reading = false;
         }
         let known_ms = self.started_ms + KNOWING_MS;
-        let is_reader = self.is_reading || rank < READERS && now_ms >= known_ms;
+        let is_reader = self.is_reading || rank < ACTIVE_READERS && now_ms >= known_ms;
         match !has_better && (is_reader || self.needs_whole) {
             true => now_ms,
             false => (confirmed_ms + PATIENCE_MS).max(known_ms) + turn_ms(rank),
@@ -216,13 +216,13 @@
 
     /// While the source is away for all, the hosts' tries are spread at random over the time
     /// in which each is to try once. Any reading that is heard of ends that.
-    fn hold(&mut self, now_ms: Millis, members: &Members, picture: &Picture) -> Millis {
+    fn hold(&mut self, now_ms: Millis, members: &Members, state: &PublishedState) -> Millis {
         // A source that told that its history is gone is there.
         if self.needs_whole {
             self.hold = None;
             return Millis::ZERO;
         }
-        let confirmed_ms = picture.confirmed_ms();
+        let confirmed_ms = state.confirmed_ms();
         self.hold = self.hold.filter(|hold| hold.confirmed_ms == confirmed_ms);
         if self.hold.is_none() && members.failed_readers(now_ms) >= AWAY_AT {
             let longest_ms = AWAY_TRY_MS.0 * u64::from(members.count());
