--- a/crates/gateway/src/backpressure.rs
+++ b/crates/gateway/src/backpressure.rs
@@ -205,7 +205,9 @@
             ..update.clone()
         };
         let updates: Vec<BackpressureUpdate> = untold.iter().map(later).collect();
-        fleet_message::broadcast(host, |should_relay| stated_message(updates.clone(), should_relay));
+        fleet_message::broadcast(host, |should_relay| {
+            stated_message(updates.clone(), should_relay)
+        });
     }
 }
 
