--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -8,7 +8,7 @@
 mod scheduling;
 
 pub use guard::PlacementGuard;
-pub use scheduling::{reschedule, run, update_first_cells};
+pub use scheduling::{reschedule, run, update_primary_cells};
 
 use crate::event_log::LogEvent;
 use crate::fleet_message;
--- a/crates/gateway/src/placement/scheduling.rs
+++ b/crates/gateway/src/placement/scheduling.rs
@@ -21,8 +21,8 @@
     decide_and_apply(host, SchedulerSet::schedule);
 }
 
-/// Updates for which cells this host is first in the order of schedulers.
-pub fn update_first_cells(host: &Host) {
+/// Updates for which cells this host is the primary scheduler.
+pub fn update_primary_cells(host: &Host) {
     let members = host.members();
     let is_primary = |cell: &Cell| {
         let all = members.others().chain(std::iter::once(members.own()));
@@ -44,7 +44,7 @@
         &mut host.rng.borrow_mut(),
     );
     if host.placement.schedulers.borrow().has_unknown_primary() {
-        update_first_cells(host);
+        update_primary_cells(host);
     }
     carry_out(host, effects);
 }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -271,7 +271,7 @@
             }
         }
         peers.run_gossip(|gossip| gossip.expire(now_ms));
-        placement::update_first_cells(&host);
+        placement::update_primary_cells(&host);
         placement::reschedule(&host);
         quarantine::run_maintenance(&host);
         backpressure::run_maintenance(&host);
--- a/crates/gateway/src/serve/admission.rs
+++ b/crates/gateway/src/serve/admission.rs
@@ -58,7 +58,7 @@
             quarantine::end_trial(&self.host, self.fingerprint());
         }
         match end {
-            AttemptResult::Answered(answered) if attempts::was_served(answered) => {
+            AttemptResult::Answered(response) if attempts::was_served(response) => {
                 quarantine::record_served(&self.host, self.fingerprint());
             }
             AttemptResult::Answered(_) | AttemptResult::NotSent | AttemptResult::Broken => {}
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -63,8 +63,8 @@
         }
         match (outcome, kept) {
             // An upstream's error response tells the caller more than a refusal by this host.
-            (Err(refusal), Some(KeptFailure { upstream, answer })) if !refusal.is_not_run => {
-                Ok(self.deliver(&upstream, answer, &counts))
+            (Err(refusal), Some(KeptFailure { upstream, response })) if !refusal.is_not_run => {
+                Ok(self.deliver(&upstream, response, &counts))
             }
             (outcome, _) => outcome,
         }
@@ -180,25 +180,25 @@
             () = guard.upstream_restarted() => Err(ExchangeError::Broken),
         };
         let Selected { upstream, work, .. } = selected;
-        let (end, answer) = match result {
-            Ok(answer) => (AttemptResult::Answered(self.answered(&answer)), Some(answer)),
+        let (end, response) = match result {
+            Ok(response) => (AttemptResult::Answered(self.summarize(&response)), Some(response)),
             Err(ExchangeError::NotSent) => (AttemptResult::NotSent, None),
             Err(ExchangeError::Broken | ExchangeError::TimedOut | ExchangeError::Malformed) => {
                 (AttemptResult::Broken, None)
             }
         };
-        let fields = answer.as_ref().map(|answer| &answer.head.fields);
+        let fields = response.as_ref().map(|response| &response.head.fields);
         if let Some(fields) = fields {
             self.host.log_unread_headers(&upstream, fields, ResponseTo::Request);
         }
         let report = fields.and_then(|fields| probe::read_load(&self.host, fields));
-        let backpressure = match (&answer, end) {
-            (Some(answer), AttemptResult::Answered(answered)) => {
-                backpressure::read(&self.host, &upstream, &answer.head, answered)
+        let backpressure = match (&response, end) {
+            (Some(response), AttemptResult::Answered(summary)) => {
+                backpressure::read(&self.host, &upstream, &response.head, summary)
             }
             _ => Backpressure::default(),
         };
-        if answer.is_some() {
+        if response.is_some() {
             self.host.pool.borrow_mut().put(&upstream, connection);
         }
         let broke_ms = self.host.now_ms();
@@ -215,13 +215,13 @@
             }
             _ => false,
         };
-        EndedAttempt { upstream, end, answer, sent_ms, has_crashed, is_trial }
+        EndedAttempt { upstream, end, response, sent_ms, has_crashed, is_trial }
     }
 
-    fn answered(&self, answer: &Response) -> ResponseSummary {
-        let fields = &answer.head.fields;
+    fn summarize(&self, response: &Response) -> ResponseSummary {
+        let fields = &response.head.fields;
         let dialect = &self.host.dialect;
-        let status = answer.head.status;
+        let status = response.head.status;
         let not_run = status == 421 || fields.get(dialect.not_run).is_some();
         let is_plain = fields.get("content-encoding").is_none();
         ResponseSummary {
--- a/crates/gateway/src/serve/attempt_end.rs
+++ b/crates/gateway/src/serve/attempt_end.rs
@@ -13,7 +13,7 @@
 pub(super) struct EndedAttempt {
     pub(super) upstream: UpstreamId,
     pub(super) end: AttemptResult,
-    pub(super) answer: Option<Response>,
+    pub(super) response: Option<Response>,
     pub(super) sent_ms: Millis,
     /// The upstream crashed during the attempt.
     pub(super) has_crashed: bool,
@@ -23,7 +23,7 @@
 /// An upstream's own error response, kept while the request is retried.
 pub(super) struct KeptFailure {
     pub(super) upstream: UpstreamId,
-    pub(super) answer: Response,
+    pub(super) response: Response,
 }
 
 impl RoutedRequest {
@@ -55,18 +55,18 @@
                 && self.host.retry_budget.borrow().remaining(self.host.now_ms(), &self.service)
                     < 1.0,
         };
-        match (attempts::next_step(state, ended.end), ended.answer) {
-            (NextStep::Deliver, Some(answer)) => {
-                Some(Ok(self.deliver(&ended.upstream, answer, counts)))
+        match (attempts::next_step(state, ended.end), ended.response) {
+            (NextStep::Deliver, Some(response)) => {
+                Some(Ok(self.deliver(&ended.upstream, response, counts)))
             }
             // Unreachable: only an attempt with a response is delivered.
             (NextStep::Deliver, None) => Some(Err(Refusal::may_have_run(Cause::UpstreamFailed))),
-            (NextStep::Retry, answer) => {
+            (NextStep::Retry, response) => {
                 if uses_retry_budget {
                     self.host.retry_budget.borrow_mut().try_spend(now_ms, &self.service);
                 }
-                if let (Some(answer), true) = (answer, is_own_failure(ended.end)) {
-                    *kept = Some(KeptFailure { upstream: ended.upstream, answer });
+                if let (Some(response), true) = (response, is_own_failure(ended.end)) {
+                    *kept = Some(KeptFailure { upstream: ended.upstream, response });
                 }
                 None
             }
@@ -77,24 +77,24 @@
     pub(super) fn deliver(
         &self,
         upstream: &UpstreamId,
-        answer: Response,
+        response: Response,
         counts: &AttemptCounts,
     ) -> Reply {
         let after_ms = self.host.now_ms().since(self.request.arrived_ms);
         self.host.metrics.response_forwarded(
             &self.route().name,
-            answer.head.status,
+            response.head.status,
             to_duration(after_ms),
         );
         self.host.log.write(&LogEvent::Delivered {
             id: &self.id,
             upstream,
-            status: answer.head.status,
+            status: response.head.status,
             after_ms,
             objective_ms: self.route().objective_ms,
             sendings: counts.sent,
         });
-        Reply::Response(answer)
+        Reply::Response(response)
     }
 
     fn log_failure(&self, ended: &EndedAttempt, now_ms: Millis) {
@@ -104,7 +104,7 @@
             upstream: &ended.upstream,
             failure,
             after_ms: now_ms.since(ended.sent_ms),
-            status: ended.answer.as_ref().map(|answer| answer.head.status),
+            status: ended.response.as_ref().map(|response| response.head.status),
             is_not_run: attempts::is_not_run(ended.end),
             repeats_left: self
                 .host
@@ -118,13 +118,13 @@
 }
 
 fn is_own_failure(end: AttemptResult) -> bool {
-    matches!(end, AttemptResult::Answered(answered) if attempts::is_upstream_failure(answered))
+    matches!(end, AttemptResult::Answered(response) if attempts::is_upstream_failure(response))
 }
 
 pub(super) fn failure_of(end: AttemptResult) -> Option<AttemptFailure> {
     match end {
-        AttemptResult::Answered(answered) if answered.not_run => Some(AttemptFailure::Shed),
-        AttemptResult::Answered(answered) if answered.status >= 500 || !answered.is_sealed => {
+        AttemptResult::Answered(response) if response.not_run => Some(AttemptFailure::Shed),
+        AttemptResult::Answered(response) if response.status >= 500 || !response.is_sealed => {
             Some(AttemptFailure::ErrorResponse)
         }
         AttemptResult::Answered(_) => None,
--- a/crates/gateway/src/serve/selection.rs
+++ b/crates/gateway/src/serve/selection.rs
@@ -161,15 +161,15 @@
             Cell::for_request(&self.service, &zone, &upstreams, &mut rng)
         };
         let first_zone = cell.zone.clone();
-        let placement = placement::place(&self.host, cell, self.submission(&zone, counts)).await;
+        let result = placement::place(&self.host, cell, self.submission(&zone, counts)).await;
         // The zone has no capacity, or no upstream that can be reached.
-        let has_no_room = matches!(placement, PlacementResult::Refused(_));
+        let is_refused = matches!(result, PlacementResult::Refused(_));
         match first_zone.and_then(|first| self.other_zone(&first)) {
-            Some(other) if has_no_room => {
+            Some(other) if is_refused => {
                 let cell = Cell { service: self.service.clone(), zone: Some(other) };
                 placement::place(&self.host, cell, self.submission(&zone, counts)).await
             }
-            _ => placement,
+            _ => result,
         }
     }
 
@@ -245,7 +245,7 @@
             let now_ms = self.host.now_ms();
             self.check_time(now_ms, counts)?;
             let Some(chosen) = chosen else { return Ok(None) };
-            match self.weigh(now_ms, &chosen, counts) {
+            match self.check_deadline(now_ms, &chosen, counts) {
                 Verdict::Send => return Ok(Some(self.selected_by_probe(chosen, begun_ms))),
                 Verdict::ProbeAgain(pause_ms) => {
                     chosen.put_back(&self.host);
@@ -275,7 +275,7 @@
 
     /// Checks whether the upstream is expected to respond in time. Only a first attempt may be
     /// delayed or refused: a retry has already lost time.
-    fn weigh(&self, now_ms: Millis, chosen: &Chosen, counts: &AttemptCounts) -> Verdict {
+    fn check_deadline(&self, now_ms: Millis, chosen: &Chosen, counts: &AttemptCounts) -> Verdict {
         if counts.sent > 0 {
             return Verdict::Send;
         }
