--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,27 +1,27 @@
-//! Connections to upstreams that wait for their next use.
+//! Pool of idle connections to upstreams.
 
 use crate::connection::Connection;
 use dispatch::MAX_IDLE_CONNECTIONS;
 use domain::{FastMap, UpstreamId};
 use published::RunStart;
 
-/// What is kept to an upstream.
+/// Which connections to an upstream the pool keeps.
 #[derive(Debug)]
 pub struct PoolLimit {
-    /// The run that goes on.
+    /// The upstream's current run.
     pub run: RunStart,
-    /// Idle connections at most.
+    /// Largest number of idle connections.
     pub max_idle: usize,
 }
 
-/// Idle connections by upstream; the one used last is used next, so that the rest ages out.
+/// Idle connections by upstream. The one used last is used next, so that surplus ones expire.
 #[derive(Debug, Default)]
 pub struct Pool {
     idle: FastMap<UpstreamId, Vec<Connection>>,
 }
 
 impl Pool {
-    /// A connection to this run of an upstream that can be used, if one waits.
+    /// Takes a usable connection to this run of an upstream, if there is one.
     pub fn take(&mut self, upstream: &UpstreamId, run: RunStart) -> Option<Connection> {
         let idle = self.idle.get_mut(upstream)?;
         while let Some(mut connection) = idle.pop() {
@@ -32,7 +32,7 @@
         None
     }
 
-    /// Keeps a connection for its next use.
+    /// Returns a connection to the pool, if it is reusable and the pool isn't full.
     pub fn put(&mut self, upstream: &UpstreamId, connection: Connection) {
         if !connection.is_reusable() {
             return;
@@ -43,35 +43,35 @@
         }
     }
 
-    /// Closes what is of no use any more, as it aged, or its upstream is gone or has started again; and
-    /// the oldest of what is more than others leave to this host.
-    pub fn prune(&mut self, kept_of: impl Fn(&UpstreamId) -> Option<PoolLimit>) {
+    /// Closes connections that expired, or whose upstream is gone or has restarted, and the least
+    /// recently used ones beyond `max_idle`.
+    pub fn prune(&mut self, limit_of: impl Fn(&UpstreamId) -> Option<PoolLimit>) {
         self.idle.retain(|upstream, idle| {
-            let Some(kept) = kept_of(upstream) else { return false };
-            idle.retain_mut(|connection| is_usable(connection, kept.run));
-            idle.drain(..idle.len().saturating_sub(kept.max_idle));
+            let Some(limit) = limit_of(upstream) else { return false };
+            idle.retain_mut(|connection| is_usable(connection, limit.run));
+            idle.drain(..idle.len().saturating_sub(limit.max_idle));
             !idle.is_empty()
         });
     }
 
-    /// Whether one waits for an upstream that is taken to be alive.
+    /// Whether there is an unexpired connection to an upstream.
     pub fn holds(&self, upstream: &UpstreamId) -> bool {
-        let alive = |connection: &Connection| connection.is_kept();
+        let alive = |connection: &Connection| connection.is_unexpired();
         self.idle.get(upstream).is_some_and(|idle| idle.iter().any(alive))
     }
 
-    /// Connections that wait.
+    /// Number of idle connections.
     pub fn len(&self) -> usize {
         self.idle.values().map(Vec::len).sum()
     }
 
-    /// Whether none waits.
+    /// Whether there are no idle connections.
     pub fn is_empty(&self) -> bool {
         self.idle.is_empty()
     }
 }
 
-/// Whether a connection is to the run that goes on, and may serve another exchange.
+/// Whether a connection is to the current run, and may serve another exchange.
 fn is_usable(connection: &mut Connection, run: RunStart) -> bool {
     !run.is_after(connection.run()) && connection.is_fresh()
 }
