--- a/crates/gateway/src/http1/body.rs
+++ b/crates/gateway/src/http1/body.rs
@@ -1,43 +1,44 @@
-//! Bodies: by length, in chunks, or up to the end of the connection.
+//! Bodies, framed by length, by chunks, or by the end of the connection.
 
 use super::HeadError;
 
-/// Longest line with a chunk's size, and longest trailer section.
+/// Longest line of a chunk's size or of a trailer.
 const MAX_LINE_BYTES: usize = 4_096;
 
-/// How the end of a body is found.
+/// How a body is framed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
-    /// After so many bytes.
+    /// By its length in bytes.
     Length(u64),
-    /// After the last chunk.
+    /// By chunks.
     Chunked,
-    /// Where the connection ends.
+    /// By the end of the connection.
     UntilClose,
 }
 
-/// How far a body has come.
+/// How much of a body has been read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyProgress {
     /// More bytes are needed.
     Partial,
-    /// It is whole.
+    /// The body is complete.
     Whole,
-    /// It is larger than allowed.
+    /// The body exceeds the limit.
     TooLarge,
 }
 
-/// Cuts one body out of the bytes of a connection.
+/// Reads one body from the received bytes of a connection.
 #[derive(Debug)]
 pub struct BodyReader {
     framing: Framing,
-    chunk: Chunk,
+    chunk: ChunkPart,
     max_bytes: usize,
     body: Vec<u8>,
 }
 
+/// The next part of a chunked body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Chunk {
+enum ChunkPart {
     Size,
     Data(usize),
     DataEnd,
@@ -45,34 +46,34 @@
 }
 
 impl BodyReader {
-    /// A body of at most `max_bytes`.
+    /// Reads a body of at most `max_bytes`.
     pub fn new(framing: Framing, max_bytes: usize) -> BodyReader {
-        BodyReader { framing, chunk: Chunk::Size, max_bytes, body: Vec::new() }
+        BodyReader { framing, chunk: ChunkPart::Size, max_bytes, body: Vec::new() }
     }
 
-    /// The body so far.
+    /// Returns what was read of the body.
     pub fn into_body(self) -> Vec<u8> {
         self.body
     }
 
-    /// How its end is found.
+    /// How the body is framed.
     pub fn framing(&self) -> Framing {
         self.framing
     }
 
-    /// Takes what belongs to the body off the front of `buffer`.
+    /// Moves what belongs to the body from the front of `buffer`.
     pub fn read_from(&mut self, buffer: &mut Vec<u8>) -> Result<BodyProgress, HeadError> {
         match self.framing {
-            Framing::Length(length) => Ok(self.take_length(buffer, length)),
-            Framing::Chunked => self.take_chunks(buffer),
+            Framing::Length(length) => Ok(self.read_length(buffer, length)),
+            Framing::Chunked => self.read_chunks(buffer),
             Framing::UntilClose => {
                 self.body.append(buffer);
-                Ok(self.partial())
+                Ok(self.partial_or_too_large())
             }
         }
     }
 
-    fn take_length(&mut self, buffer: &mut Vec<u8>, length: u64) -> BodyProgress {
+    fn read_length(&mut self, buffer: &mut Vec<u8>, length: u64) -> BodyProgress {
         let length = usize::try_from(length).unwrap_or(usize::MAX);
         if length > self.max_bytes {
             return BodyProgress::TooLarge;
@@ -82,34 +83,34 @@
         if self.body.len() == length { BodyProgress::Whole } else { BodyProgress::Partial }
     }
 
-    fn take_chunks(&mut self, buffer: &mut Vec<u8>) -> Result<BodyProgress, HeadError> {
+    fn read_chunks(&mut self, buffer: &mut Vec<u8>) -> Result<BodyProgress, HeadError> {
         loop {
             match self.chunk {
-                Chunk::Size => match take_line(buffer)? {
+                ChunkPart::Size => match take_line(buffer)? {
                     None => return Ok(BodyProgress::Partial),
                     Some(line) => match chunk_size(&line)? {
-                        0 => self.chunk = Chunk::Trailers,
+                        0 => self.chunk = ChunkPart::Trailers,
                         size if size > self.max_bytes.saturating_sub(self.body.len()) => {
                             return Ok(BodyProgress::TooLarge);
                         }
-                        size => self.chunk = Chunk::Data(size),
+                        size => self.chunk = ChunkPart::Data(size),
                     },
                 },
-                Chunk::Data(left) => {
+                ChunkPart::Data(left) => {
                     let taken = left.min(buffer.len());
                     self.body.extend(buffer.drain(..taken));
                     if taken < left {
-                        self.chunk = Chunk::Data(left - taken);
+                        self.chunk = ChunkPart::Data(left - taken);
                         return Ok(BodyProgress::Partial);
                     }
-                    self.chunk = Chunk::DataEnd;
+                    self.chunk = ChunkPart::DataEnd;
                 }
-                Chunk::DataEnd => match take_line(buffer)? {
+                ChunkPart::DataEnd => match take_line(buffer)? {
                     None => return Ok(BodyProgress::Partial),
-                    Some(line) if line.is_empty() => self.chunk = Chunk::Size,
+                    Some(line) if line.is_empty() => self.chunk = ChunkPart::Size,
                     Some(_) => return Err(HeadError::BadEncoding),
                 },
-                Chunk::Trailers => match take_line(buffer)? {
+                ChunkPart::Trailers => match take_line(buffer)? {
                     None => return Ok(BodyProgress::Partial),
                     Some(line) if line.is_empty() => return Ok(BodyProgress::Whole),
                     Some(_) => {}
@@ -118,7 +119,7 @@
         }
     }
 
-    fn partial(&self) -> BodyProgress {
+    fn partial_or_too_large(&self) -> BodyProgress {
         match self.body.len() > self.max_bytes {
             true => BodyProgress::TooLarge,
             false => BodyProgress::Partial,
--- a/crates/gateway/src/http1/head.rs
+++ b/crates/gateway/src/http1/head.rs
@@ -1,8 +1,8 @@
-//! The headers of a head, kept as ranges of its bytes.
+//! Headers, stored as ranges of the head's bytes.
 
 use std::ops::Range;
 
-/// Most headers in a head; also bounds the work of reading one.
+/// Most headers in a head; bounds the work of parsing one.
 pub const MAX_HEADERS: usize = 96;
 
 /// Why a head is refused.
@@ -10,15 +10,15 @@
 pub enum HeadError {
     /// Not HTTP/1.
     Malformed,
-    /// A line feed without a carriage return, which readers take for different things.
+    /// A line feed without a carriage return, which parsers interpret differently.
     BareLineFeed,
-    /// More than one length, or one that is no number.
+    /// More than one length, or one that isn't a number.
     BadLength,
-    /// A length beside chunks, or an encoding other than chunks.
+    /// A length beside a transfer encoding, an encoding other than `chunked`, or a malformed chunk.
     BadEncoding,
 }
 
-/// Headers of a head.
+/// The headers of a request or response.
 #[derive(Debug, Clone, Default)]
 pub struct HeadFields {
     bytes: Vec<u8>,
@@ -26,7 +26,7 @@
 }
 
 impl HeadFields {
-    /// Takes over the bytes of a whole head and what was parsed of it.
+    /// Stores a complete head and the headers that were parsed from it.
     pub fn new(bytes: &[u8], parsed: &[httparse::Header<'_>]) -> Result<HeadFields, HeadError> {
         let is_bare = |at: usize| bytes[at] == b'\n' && (at == 0 || bytes[at - 1] != b'\r');
         if (0..bytes.len()).any(is_bare) {
@@ -44,7 +44,7 @@
         Ok(HeadFields { bytes: bytes.to_vec(), fields })
     }
 
-    /// All headers in order.
+    /// All headers, in order.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.fields.iter().map(|(name, value)| {
             let name = std::str::from_utf8(&self.bytes[name.clone()]).unwrap_or_default();
@@ -59,13 +59,13 @@
             .map(|(_, value)| value)
     }
 
-    /// First value of a header, if it is text.
+    /// First value of a header, trimmed, if it is UTF-8.
     pub fn get(&self, wanted: &str) -> Option<&str> {
         let value = self.all(wanted).next()?;
         std::str::from_utf8(value).ok().map(str::trim)
     }
 
-    /// Whether a header that lists tokens holds one.
+    /// Whether a comma-separated header contains a token.
     pub fn lists(&self, header: &str, token: &str) -> bool {
         let has_token = |value: &[u8]| {
             let text = String::from_utf8_lossy(value);
@@ -74,7 +74,7 @@
         self.all(header).any(has_token)
     }
 
-    /// The one stated length.
+    /// The `content-length`, if there is one.
     pub fn length(&self) -> Result<Option<u64>, HeadError> {
         let mut lengths = self.all("content-length");
         let Some(first) = lengths.next() else { return Ok(None) };
@@ -86,7 +86,7 @@
         text.and_then(|text| text.parse().ok()).map(Some).ok_or(HeadError::BadLength)
     }
 
-    /// Whether the body comes in chunks.
+    /// Whether the transfer encoding is `chunked`.
     pub fn is_chunked(&self) -> Result<bool, HeadError> {
         let mut encodings = self.all("transfer-encoding");
         let Some(first) = encodings.next() else { return Ok(false) };
@@ -98,7 +98,7 @@
     }
 }
 
-/// Where a head ends: behind its first empty line.
+/// Returns the length of the head, up to and with its first empty line.
 pub fn head_end(bytes: &[u8]) -> Option<usize> {
     bytes.windows(4).position(|window| window == b"\r\n\r\n").map(|at| at + 4)
 }
--- a/crates/gateway/src/http1/mod.rs
+++ b/crates/gateway/src/http1/mod.rs
@@ -1,14 +1,12 @@
-//! HTTP/1.1 framing of requests and answers.
+//! HTTP/1.1 framing of requests and responses.
 //!
-//! `httparse` reads heads; this module decides what a head may say about its body and
-//! cuts bodies out. It stands in place of `salvo` and `reqwest` for callers' requests,
-//! since three things have to be decided here that neither leaves open: requests behind
-//! one another on a connection run at the same time, an answer that belongs to an earlier
-//! request is skipped by its id, and a caller that hung up is noticed while its request
-//! waits.
+//! `httparse` parses heads; this module validates how a head frames its body, and reads bodies.
+//! `salvo` and `reqwest` don't allow what is needed here: pipelined requests that run concurrently,
+//! skipping a response to an earlier request by its id, and noticing that a caller disconnected
+//! while its request waits.
 //!
-//! It is strict where two readers could disagree: two lengths, a length beside chunks,
-//! bare line feeds and folded headers are refused.
+//! Ambiguous framing is refused: two lengths, a length beside chunks, bare line feeds, and folded
+//! headers.
 
 mod body;
 mod head;
--- a/crates/gateway/src/http1/request.rs
+++ b/crates/gateway/src/http1/request.rs
@@ -3,12 +3,12 @@
 use super::head::{MAX_HEADERS, head_end};
 use super::{Framing, HeadError, HeadFields};
 
-/// Why a request can't be taken.
+/// Why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestError {
-    /// Its head is faulty.
+    /// Its head is malformed.
     Head(HeadError),
-    /// Its head is over the limit.
+    /// Its head exceeds the limit.
     HeadTooLarge,
 }
 
@@ -21,13 +21,13 @@
 /// Head of a request.
 #[derive(Debug, Clone)]
 pub struct RequestHead {
-    /// As it came.
+    /// Method, as received.
     pub method: String,
-    /// Path and query, as they came.
+    /// Path and query, as received.
     pub target: String,
     /// Headers.
     pub fields: HeadFields,
-    /// How its body ends.
+    /// How its body is framed.
     pub framing: Framing,
     /// Whether the caller keeps the connection open.
     pub keeps_alive: bool,
@@ -39,20 +39,20 @@
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// Whether the method itself says that nothing is changed.
+    /// Whether the method is safe, as HTTP defines it.
     pub fn is_safe_method(&self) -> bool {
         matches!(self.method.as_str(), "GET" | "HEAD" | "OPTIONS")
     }
 }
 
-/// Takes a whole head off the front of `buffer`; none if it isn't whole yet.
+/// Removes a complete head from the front of `buffer`; none if it is still incomplete.
 pub fn read_request(
     buffer: &mut Vec<u8>,
     max_bytes: usize,
 ) -> Result<Option<RequestHead>, RequestError> {
     let leading = buffer.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
     buffer.drain(..leading);
-    let Some(end) = head_end(buffer) else { return reject_endless(buffer, max_bytes) };
+    let Some(end) = head_end(buffer) else { return check_incomplete(buffer, max_bytes) };
     if end > max_bytes {
         return Err(RequestError::HeadTooLarge);
     }
@@ -61,8 +61,8 @@
     Ok(Some(head))
 }
 
-/// A head that can't become a good one is refused before it is whole.
-fn reject_endless(buffer: &[u8], max_bytes: usize) -> Result<Option<RequestHead>, RequestError> {
+/// Refuses an incomplete head that can't become valid.
+fn check_incomplete(buffer: &[u8], max_bytes: usize) -> Result<Option<RequestHead>, RequestError> {
     match buffer.len() > max_bytes {
         true => Err(RequestError::HeadTooLarge),
         false if buffer.windows(2).any(|pair| pair == b"\n\n") => {
@@ -84,11 +84,11 @@
         (true, _) => Framing::Chunked,
         (false, length) => Framing::Length(length.unwrap_or(0)),
     };
-    let is_new = parsed.version == Some(1);
-    if framing == Framing::Chunked && !is_new {
+    let is_http_1_1 = parsed.version == Some(1);
+    if framing == Framing::Chunked && !is_http_1_1 {
         return Err(HeadError::BadEncoding);
     }
-    let keeps_alive = match is_new {
+    let keeps_alive = match is_http_1_1 {
         true => !fields.lists("connection", "close"),
         false => fields.lists("connection", "keep-alive"),
     };
--- a/crates/gateway/src/http1/response.rs
+++ b/crates/gateway/src/http1/response.rs
@@ -1,33 +1,34 @@
-//! Heads of upstreams' answers.
+//! Heads of responses.
 
 use super::head::{MAX_HEADERS, head_end};
 use super::{Framing, HeadError, HeadFields};
 
-/// Largest head of an answer that is taken.
+/// Largest head of a response.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// Head of an answer.
+/// Head of a response.
 #[derive(Debug, Clone)]
 pub struct ResponseHead {
     /// HTTP status.
     pub status: u16,
     /// Headers.
     pub fields: HeadFields,
-    /// How its body ends.
+    /// How its body is framed.
     pub framing: Framing,
-    /// Whether another request may follow on the connection.
+    /// Whether the connection stays open for another request.
     pub keeps_alive: bool,
 }
 
-/// Takes a whole head off the front of `buffer`, past interim ones; none if it isn't whole yet.
+/// Removes a complete head from the front of `buffer`, and interim responses before it; none if it is
+/// still incomplete.
 pub fn read_response(
     buffer: &mut Vec<u8>,
     has_body: bool,
 ) -> Result<Option<ResponseHead>, HeadError> {
     loop {
         let Some(end) = head_end(buffer) else {
-            let looks_right = buffer.iter().zip(b"HTTP/1.").all(|(byte, wanted)| byte == wanted);
-            return match looks_right && buffer.len() <= MAX_HEAD_BYTES {
+            let may_be_http = buffer.iter().zip(b"HTTP/1.").all(|(byte, wanted)| byte == wanted);
+            return match may_be_http && buffer.len() <= MAX_HEAD_BYTES {
                 true => Ok(None),
                 false => Err(HeadError::Malformed),
             };
@@ -49,9 +50,9 @@
     }
     let status = parsed.code.unwrap_or_default();
     let fields = HeadFields::new(bytes, parsed.headers)?;
-    let is_bare = !has_body || matches!(status, 100..=199 | 204 | 304);
+    let has_no_body = !has_body || matches!(status, 100..=199 | 204 | 304);
     let framing = match (fields.is_chunked()?, fields.length()?) {
-        _ if is_bare => Framing::Length(0),
+        _ if has_no_body => Framing::Length(0),
         (true, _) => Framing::Chunked,
         (false, Some(length)) => Framing::Length(length),
         (false, None) => Framing::UntilClose,
--- a/crates/gateway/src/http1/write.rs
+++ b/crates/gateway/src/http1/write.rs
@@ -1,4 +1,4 @@
-//! Writing of heads.
+//! Writes requests and responses.
 
 use super::{HeadFields, RequestHead};
 
@@ -16,29 +16,27 @@
     "content-length",
 ];
 
-/// Whether a header is not passed on.
+/// Whether a header isn't forwarded.
 pub fn is_hop_by_hop(name: &str, fields: &HeadFields) -> bool {
     HOP_BY_HOP.iter().any(|hop| name.eq_ignore_ascii_case(hop)) || fields.lists("connection", name)
 }
 
-/// Head and body of a request, as an upstream gets them.
-///
-/// `marks` replace headers of the same name.
-pub fn write_request(head: &RequestHead, body: &[u8], marks: &[(&str, &str)]) -> Vec<u8> {
+/// Returns the bytes of a request to an upstream. `added` headers replace those of the same name.
+pub fn write_request(head: &RequestHead, body: &[u8], added: &[(&str, &str)]) -> Vec<u8> {
     let mut out = Vec::with_capacity(512 + body.len());
     for part in [&head.method, " ", &head.target, " HTTP/1.1\r\n"] {
         out.extend_from_slice(part.as_bytes());
     }
-    let is_marked = |name: &str| marks.iter().any(|(mark, _)| name.eq_ignore_ascii_case(mark));
+    let is_replaced = |name: &str| added.iter().any(|(added, _)| name.eq_ignore_ascii_case(added));
     for (name, value) in head.fields.iter() {
         let is_dropped = is_hop_by_hop(name, &head.fields)
-            || is_marked(name)
+            || is_replaced(name)
             || name.eq_ignore_ascii_case("expect");
         if !is_dropped {
             write_field(&mut out, name, value);
         }
     }
-    for (name, value) in marks {
+    for (name, value) in added {
         write_field(&mut out, name, value.as_bytes());
     }
     if !body.is_empty() || !head.is_safe_method() {
@@ -49,14 +47,14 @@
     out
 }
 
-/// Writes a whole answer.
+/// Writes a response.
 #[derive(Debug)]
 pub struct ResponseWriter {
     out: Vec<u8>,
 }
 
 impl ResponseWriter {
-    /// Begins with the status line.
+    /// Writes the status line.
     pub fn new(status: u16) -> ResponseWriter {
         let mut out = Vec::with_capacity(1024);
         out.extend_from_slice(format!("HTTP/1.1 {status} {}\r\n", reason(status)).as_bytes());
@@ -69,7 +67,7 @@
         self
     }
 
-    /// Ends the head, states the length where the status has one, and adds the body.
+    /// Ends the head, with the length unless the status forbids it, and adds the body.
     pub fn body(mut self, status: u16, body: &[u8], closes: bool) -> Vec<u8> {
         if closes {
             write_field(&mut self.out, "connection", b"close");
@@ -82,7 +80,7 @@
         self.out
     }
 
-    /// Ends a head whose body is left out, as for `HEAD`; `length` is what it would be.
+    /// Ends a head without a body, as for `HEAD`; `length` is that of the omitted body.
     pub fn no_body(mut self, length: Option<&[u8]>, closes: bool) -> Vec<u8> {
         if closes {
             write_field(&mut self.out, "connection", b"close");
