--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -33,7 +33,7 @@
 /// Responses to earlier requests that are skipped before the exchange fails.
 const MAX_STRAYS: u32 = 4;
 
-/// Why an exchange brought no complete response.
+/// Why an exchange brought no complete response. The variants are logged under these names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExchangeError {
     /// No byte of the request was sent.
@@ -41,9 +41,9 @@
     /// The connection broke after a byte of the request was sent.
     Broken,
     /// A read timed out after a byte of the request was sent.
-    TimedOut,
+    Silent,
     /// The response violates the protocol, or is too large.
-    Malformed,
+    Garbled,
 }
 
 /// A complete response.
@@ -195,7 +195,7 @@
             };
             let was_sent = unsent.len() < request.len();
             ready.map_err(|e| match e.kind() {
-                ErrorKind::TimedOut if was_sent => ExchangeError::TimedOut,
+                ErrorKind::TimedOut if was_sent => ExchangeError::Silent,
                 _ => broken(was_sent),
             })?;
         }
@@ -272,14 +272,14 @@
             let Some(body) = &mut self.body else { return Ok(None) };
             match body.read_from(buffer).map_err(malformed)? {
                 BodyProgress::Partial => return Ok(None),
-                BodyProgress::TooLarge => return Err(ExchangeError::Malformed),
+                BodyProgress::TooLarge => return Err(ExchangeError::Garbled),
                 BodyProgress::Whole => {}
             }
             match (self.head.take(), self.body.take()) {
                 (Some(head), Some(_)) if self.is_stray(&head) => {
                     self.strays += 1;
                     if self.strays > MAX_STRAYS || !head.keeps_alive {
-                        return Err(ExchangeError::Malformed);
+                        return Err(ExchangeError::Garbled);
                     }
                 }
                 (Some(head), Some(body)) => {
@@ -306,5 +306,5 @@
 }
 
 fn malformed(_: HeadError) -> ExchangeError {
-    ExchangeError::Malformed
+    ExchangeError::Garbled
 }
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -183,7 +183,7 @@
         let (end, response) = match result {
             Ok(response) => (AttemptResult::Answered(self.summarize(&response)), Some(response)),
             Err(ExchangeError::NotSent) => (AttemptResult::NotSent, None),
-            Err(ExchangeError::Broken | ExchangeError::TimedOut | ExchangeError::Malformed) => {
+            Err(ExchangeError::Broken | ExchangeError::Silent | ExchangeError::Garbled) => {
                 (AttemptResult::Broken, None)
             }
         };
