--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -1,10 +1,10 @@
 //! Callers' connections.
 //!
-//! Requests behind one another on a connection are served at the same time, as long as
-//! all of them only read; answers leave in the order of the requests. A connection is read
-//! on while its requests are served, so a caller that hangs up is noticed at once. It
-//! closes gently: the write half first, then what is still on its way is read and dropped,
-//! since closing over unread bytes would destroy the answer.
+//! Pipelined requests are served concurrently as long as all of them are idempotent; responses are
+//! sent in the order of the requests. A connection is read while its requests are served, so a
+//! disconnect is noticed at once. Closing shuts down the write half first, and then reads and drops
+//! what still arrives, since closing with unread bytes would reset the connection and lose the
+//! response.
 
 mod caller;
 mod render;
@@ -28,7 +28,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 
-/// Limits until a routing states others.
+/// Limits until the first routing is known.
 const FIRST_LIMITS: CallerLimits = CallerLimits {
     head_bytes: ByteCount(16 * 1024),
     body_bytes: ByteCount(1024 * 1024),
@@ -36,28 +36,27 @@
     idle_timeout_ms: Millis(15_000),
 };
 
-/// Requests of one connection that are served at the same time.
+/// Most requests of one connection that are served concurrently.
 const MAX_PIPELINED: usize = 32;
 
-/// How much longer than its limit an idle connection stays open: a request that was sent in
-/// time may be held up on a link that large changes fill, 1.45 s were seen. Longer than callers
-/// wait, so who sent in time is never met by the end of the connection.
+/// How much longer than its limit an idle connection stays open, so that a request that was sent in
+/// time but delayed on a busy link doesn't meet a closed connection. Longer than callers wait.
 const IDLE_SLACK: Duration = Duration::from_secs(5);
 
-/// A caller that doesn't take its answer for so long is given up.
+/// Longest time to write a response to a caller.
 const WRITE_LIMIT: Duration = Duration::from_secs(5);
 
-/// A request whose answer is still to be written.
-struct Pending {
+/// A request whose response is still to be written.
+struct PendingRequest {
     request: Rc<Request>,
     progress: Rc<RequestProgress>,
     task: JoinHandle<Reply>,
     repeat: Idempotency,
 }
 
-impl Pending {
-    /// The caller left: withdraws the request, unless it runs at most once and was sent.
-    fn abandon(&self, host: &Host) {
+impl PendingRequest {
+    /// Cancels the request of a caller that disconnected, unless it was sent and runs at most once.
+    fn on_caller_gone(&self, host: &Host) {
         if !self.progress.continues_without_caller.get() {
             self.task.abort();
             return;
@@ -72,29 +71,30 @@
     }
 }
 
-/// A request that has not arrived whole yet.
-struct Arriving {
+/// A request whose head was read, but not its whole body.
+struct PartialRequest {
     head: RequestHead,
     body: BodyReader,
     arrived_ms: Millis,
-    is_continued: bool,
+    sent_continue: bool,
 }
 
+/// The state of one caller's connection.
 struct Session {
     host: Rc<Host>,
     caller: Rc<Caller>,
-    pending: VecDeque<Pending>,
-    arriving: Option<Arriving>,
-    whole: Option<Rc<Request>>,
-    faulty: Option<Refusal>,
-    head_since: Option<Moment>,
-    active: Moment,
+    pending: VecDeque<PendingRequest>,
+    partial: Option<PartialRequest>,
+    complete: Option<Rc<Request>>,
+    refused: Option<Refusal>,
+    head_started: Option<Moment>,
+    last_active: Moment,
     is_last: bool,
 }
 
-/// Takes callers' connections until they are to be closed.
+/// Accepts callers' connections until the host begins to close them.
 ///
-/// Then the port is closed too: a connection that nobody would read is better refused.
+/// Then the port is closed, too, so that new connections are refused instead of never being read.
 pub async fn accept(host: Rc<Host>, listener: TcpListener) {
     let mut closing = host.closing_idle.subscribe();
     loop {
@@ -107,7 +107,7 @@
                 tokio::task::spawn_local(session(Rc::clone(&host), stream));
             }
             Err(e) => {
-                // Out of descriptors, or the caller was faster; the next may do better.
+                // Out of descriptors, or the caller has disconnected already; try again.
                 host.log.write(&LogEvent::AcceptFailed { problem: e.to_string() });
                 clock::sleep(ACCEPT_PAUSE).await;
             }
@@ -116,7 +116,7 @@
 }
 
 async fn session(host: Rc<Host>, stream: TcpStream) {
-    // Without it small answers may be late, nothing else.
+    // If it fails, small responses may be delayed, nothing else.
     let _ = stream.set_nodelay(true);
     let inbox = RefCell::new(Vec::new());
     let caller = Rc::new(Caller { stream, inbox, is_gone: Cell::new(false) });
@@ -125,27 +125,27 @@
         host,
         caller,
         pending: VecDeque::new(),
-        arriving: None,
-        whole: None,
-        faulty: None,
-        head_since: None,
-        active: now,
+        partial: None,
+        complete: None,
+        refused: None,
+        head_started: None,
+        last_active: now,
         is_last: false,
     };
     session.host.open_caller_connections.update(|open| open + 1);
     session.run().await;
     for pending in &session.pending {
-        pending.abandon(&session.host);
+        pending.on_caller_gone(&session.host);
     }
     linger(&session.caller).await;
     session.host.open_caller_connections.update(|open| open - 1);
 }
 
-/// What a session waits for next.
+/// What a session has waited for.
 enum Next {
     Read,
     Answered(Reply),
-    Late,
+    TimedOut,
     Closing,
 }
 
@@ -156,25 +156,25 @@
             if self.caller.is_gone.get() {
                 return;
             }
-            self.take_requests().await;
-            if self.pending.is_empty() && (self.is_last || self.faulty.is_some()) {
-                self.write_fault().await;
+            self.start_requests().await;
+            if self.pending.is_empty() && (self.is_last || self.refused.is_some()) {
+                self.write_refusal().await;
                 return;
             }
             match self.wait().await {
                 Next::Read => {}
                 Next::Answered(reply) => {
-                    if !self.write_answer(reply).await {
+                    if !self.write_response(reply).await {
                         return;
                     }
                 }
-                Next::Late if self.is_idle_to_the_last() => return,
-                Next::Late if self.is_arriving() => {
-                    self.faulty = Some(Refusal::not_run(Cause::SlowRequest));
+                Next::TimedOut if self.is_still_idle() => return,
+                Next::TimedOut if self.has_partial_request() => {
+                    self.refused = Some(Refusal::not_run(Cause::SlowRequest));
                 }
-                // What is being served has times of its own.
-                Next::Late => {}
-                Next::Closing if self.is_idle_to_the_last() => return,
+                // Requests in progress have timeouts of their own.
+                Next::TimedOut => {}
+                Next::Closing if self.is_still_idle() => return,
                 Next::Closing => self.is_last = true,
             }
         }
@@ -182,19 +182,19 @@
 
     fn is_idle(&self) -> bool {
         self.pending.is_empty()
-            && self.arriving.is_none()
-            && self.whole.is_none()
+            && self.partial.is_none()
+            && self.complete.is_none()
             && self.caller.inbox.borrow().is_empty()
     }
 
-    /// Looks once more before the connection closes: a busy host may not have read what is there.
-    fn is_idle_to_the_last(&mut self) -> bool {
+    /// Whether the connection is idle after another read: a busy host may not have read everything.
+    fn is_still_idle(&mut self) -> bool {
         self.caller.fill();
         self.is_idle()
     }
 
-    fn is_arriving(&self) -> bool {
-        self.arriving.is_some() || self.head_since.is_some()
+    fn has_partial_request(&self) -> bool {
+        self.partial.is_some() || self.head_started.is_some()
     }
 
     fn limits(&self) -> CallerLimits {
@@ -203,8 +203,8 @@
     }
 
     async fn wait(&mut self) -> Next {
-        let is_reading = self.caller.has_room();
-        let late = self.late_at();
+        let may_read = self.caller.has_room();
+        let times_out = self.timeout_at();
         let mut closing = self.host.closing_idle.subscribe();
         let is_closing = *closing.borrow();
         if is_closing && self.is_idle() {
@@ -221,129 +221,130 @@
             biased;
             reply = answered => match reply {
                 Ok(reply) => Next::Answered(reply),
-                // A task that failed is a fault of ours; whether the request ran is unknown.
+                // The task panicked; whether the request ran is unknown.
                 Err(_) => Next::Answered(Reply::Refused(Refusal::may_have_run(Cause::UpstreamFailed))),
             },
-            ready = self.caller.stream.readable(), if is_reading => {
+            ready = self.caller.stream.readable(), if may_read => {
                 if ready.is_err() {
                     self.caller.is_gone.set(true);
                 }
                 Next::Read
             }
-            () = clock::sleep_until(late) => Next::Late,
+            () = clock::sleep_until(times_out) => Next::TimedOut,
             _ = closing.changed(), if !is_closing => Next::Closing,
         }
     }
 
-    /// When the caller has taken too long.
-    fn late_at(&self) -> Moment {
+    /// When the wait for the caller times out.
+    fn timeout_at(&self) -> Moment {
         let limits = self.limits();
-        match self.head_since {
-            Some(since) if self.arriving.is_none() => since + to_duration(limits.head_timeout_ms),
+        match self.head_started {
+            Some(since) if self.partial.is_none() => since + to_duration(limits.head_timeout_ms),
             _ if !self.pending.is_empty() => Moment::now() + to_duration(limits.idle_timeout_ms),
-            _ if self.is_idle() => self.active + to_duration(limits.idle_timeout_ms) + IDLE_SLACK,
-            _ => self.active + to_duration(limits.idle_timeout_ms),
+            _ if self.is_idle() => {
+                self.last_active + to_duration(limits.idle_timeout_ms) + IDLE_SLACK
+            }
+            _ => self.last_active + to_duration(limits.idle_timeout_ms),
         }
     }
 
-    /// Begins to serve what has arrived.
-    async fn take_requests(&mut self) {
-        while !self.is_last && self.faulty.is_none() {
-            if self.whole.is_none() && !self.take_whole().await {
+    /// Starts to serve the requests that have been read.
+    async fn start_requests(&mut self) {
+        while !self.is_last && self.refused.is_none() {
+            if self.complete.is_none() && !self.read_complete_request().await {
                 return;
             }
-            if !self.begin() {
+            if !self.start_request() {
                 return;
             }
         }
     }
 
-    /// Takes one whole request off the inbox, if it is there.
-    async fn take_whole(&mut self) -> bool {
-        if self.arriving.is_none() && !self.take_head() {
+    /// Reads a complete request from the inbox; false if it is incomplete or refused.
+    async fn read_complete_request(&mut self) -> bool {
+        if self.partial.is_none() && !self.read_head() {
             return false;
         }
-        let Some(arriving) = &mut self.arriving else { return false };
-        let progress = arriving.body.read_from(&mut self.caller.inbox.borrow_mut());
+        let Some(partial) = &mut self.partial else { return false };
+        let progress = partial.body.read_from(&mut self.caller.inbox.borrow_mut());
         match progress {
             Ok(BodyProgress::Whole) => {}
             Ok(BodyProgress::Partial) => {
-                self.active = Moment::now();
-                self.invite_body().await;
+                self.last_active = Moment::now();
+                self.send_continue().await;
                 return false;
             }
             Ok(BodyProgress::TooLarge) => {
-                self.faulty = Some(Refusal::not_run(Cause::BodyTooLarge));
+                self.refused = Some(Refusal::not_run(Cause::BodyTooLarge));
                 return false;
             }
             Err(_) => {
-                self.faulty = Some(Refusal::not_run(Cause::BadRequest));
+                self.refused = Some(Refusal::not_run(Cause::BadRequest));
                 return false;
             }
         }
-        let Some(Arriving { head, body, arrived_ms, .. }) = self.arriving.take() else {
+        let Some(PartialRequest { head, body, arrived_ms, .. }) = self.partial.take() else {
             return false;
         };
-        self.whole = Some(Rc::new(Request { head, body: body.into_body(), arrived_ms }));
+        self.complete = Some(Rc::new(Request { head, body: body.into_body(), arrived_ms }));
         true
     }
 
-    fn take_head(&mut self) -> bool {
+    fn read_head(&mut self) -> bool {
         let limits = self.limits();
         let max_bytes = usize::try_from(limits.head_bytes.0).unwrap_or(usize::MAX);
         let mut inbox = self.caller.inbox.borrow_mut();
         let head = match read_request(&mut inbox, max_bytes) {
             Ok(Some(head)) => head,
             Ok(None) => {
-                let has_begun = !inbox.is_empty();
-                self.head_since = self.head_since.filter(|_| has_begun);
-                if has_begun {
-                    self.head_since.get_or_insert_with(Moment::now);
+                let has_bytes = !inbox.is_empty();
+                self.head_started = self.head_started.filter(|_| has_bytes);
+                if has_bytes {
+                    self.head_started.get_or_insert_with(Moment::now);
                 }
                 return false;
             }
             Err(error) => {
-                self.faulty = Some(Refusal::not_run(match error {
+                self.refused = Some(Refusal::not_run(match error {
                     RequestError::Head(_) => Cause::BadRequest,
                     RequestError::HeadTooLarge => Cause::HeadTooLarge,
                 }));
                 return false;
             }
         };
-        self.head_since = None;
+        self.head_started = None;
         let max_body = usize::try_from(limits.body_bytes.0).unwrap_or(usize::MAX);
         let body = BodyReader::new(head.framing, max_body);
         let arrived_ms = self.host.now_ms();
-        self.arriving = Some(Arriving { head, body, arrived_ms, is_continued: false });
+        self.partial = Some(PartialRequest { head, body, arrived_ms, sent_continue: false });
         true
     }
 
-    /// A caller that waits for leave to send its body gets it, once its answers are out.
-    async fn invite_body(&mut self) {
+    /// Sends `100 Continue` to a caller that expects it, once no earlier response is pending.
+    async fn send_continue(&mut self) {
         let is_first = self.pending.is_empty();
-        let Some(arriving) = &mut self.arriving else { return };
-        if is_first
-            && !arriving.is_continued
-            && arriving.head.fields.lists("expect", "100-continue")
+        let Some(partial) = &mut self.partial else { return };
+        if is_first && !partial.sent_continue && partial.head.fields.lists("expect", "100-continue")
         {
-            arriving.is_continued = true;
-            // A caller that can't be written to is noticed by the next read.
+            partial.sent_continue = true;
+            // The next read notices a caller that can't be written to.
             let _ = self.caller.write(b"HTTP/1.1 100 Continue\r\n\r\n").await;
         }
     }
 
-    /// Begins to serve the request that is whole, unless it has to wait for those before it.
-    fn begin(&mut self) -> bool {
-        let Some(request) = self.whole.take() else { return false };
+    /// Starts to serve the complete request; false if there is none or it has to wait for earlier ones.
+    fn start_request(&mut self) -> bool {
+        let Some(request) = self.complete.take() else { return false };
         let repeat = match request.head.is_safe_method() {
             true => Idempotency::Idempotent,
             false => Idempotency::AtMostOnce,
         };
-        let all_read = repeat == Idempotency::Idempotent
+        let are_all_idempotent = repeat == Idempotency::Idempotent
             && self.pending.iter().all(|pending| pending.repeat == Idempotency::Idempotent);
-        let may_begin = self.pending.is_empty() || all_read && self.pending.len() < MAX_PIPELINED;
-        if !may_begin {
-            self.whole = Some(request);
+        let may_start =
+            self.pending.is_empty() || are_all_idempotent && self.pending.len() < MAX_PIPELINED;
+        if !may_start {
+            self.complete = Some(request);
             return false;
         }
         self.is_last = !request.head.keeps_alive || self.host.is_stopping();
@@ -355,25 +356,25 @@
             Rc::clone(&progress),
         );
         let task = tokio::task::spawn_local(serving);
-        self.pending.push_back(Pending { request, progress, task, repeat });
+        self.pending.push_back(PendingRequest { request, progress, task, repeat });
         true
     }
 
-    /// Writes the answer to the first pending request; false if the connection ends with it.
-    async fn write_answer(&mut self, reply: Reply) -> bool {
+    /// Writes the response to the first pending request; false if the connection ends with it.
+    async fn write_response(&mut self, reply: Reply) -> bool {
         let Some(pending) = self.pending.pop_front() else { return false };
-        let closes = self.pending.is_empty()
-            && self.faulty.is_none()
+        let should_close = self.pending.is_empty()
+            && self.refused.is_none()
             && (self.is_last || self.host.is_stopping());
-        let bytes = render(&self.host, &pending.request, &reply, closes);
-        self.active = Moment::now();
+        let bytes = render(&self.host, &pending.request, &reply, should_close);
+        self.last_active = Moment::now();
         let written = clock::timeout(WRITE_LIMIT, self.caller.write(&bytes)).await;
-        matches!(written, Ok(Ok(()))) && !closes
+        matches!(written, Ok(Ok(()))) && !should_close
     }
 
-    /// A faulty request is answered after those before it, and ends the connection.
-    async fn write_fault(&mut self) {
-        let Some(refusal) = self.faulty else { return };
+    /// Writes the refusal of a malformed or slow request, which ends the connection.
+    async fn write_refusal(&mut self) {
+        let Some(refusal) = self.refused else { return };
         self.host.metrics.request_refused("", refusal.cause);
         let bytes = render_refusal(&self.host, None, refusal, true);
         // The connection ends here either way.
--- a/crates/gateway/src/ingress/caller.rs
+++ b/crates/gateway/src/ingress/caller.rs
@@ -1,4 +1,4 @@
-//! A caller's connection.
+//! A caller's connection: its socket, and the bytes read ahead from it.
 
 use clock::Moment;
 use std::cell::{Cell, RefCell};
@@ -6,16 +6,16 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Bytes that are read ahead of the requests in progress.
+/// Most bytes that are read ahead.
 const MAX_READ_AHEAD: usize = 256 * 1024;
 
-/// Bytes read at once.
+/// Size of one read.
 const READ_BYTES: usize = 16 * 1024;
 
-/// After the last answer, what the caller still sends is read for so long.
+/// How long what the caller still sends is read and dropped after the last response.
 const LINGER: Duration = Duration::from_millis(600);
 
-/// A caller's connection, as its requests see it.
+/// A caller's connection, shared with the tasks that serve its requests.
 #[derive(Debug)]
 pub struct Caller {
     pub(super) stream: TcpStream,
@@ -24,13 +24,13 @@
 }
 
 impl Caller {
-    /// Reads what is there, and tells whether the caller hung up.
+    /// Reads what is available, and returns whether the caller has disconnected.
     pub fn is_gone_now(&self) -> bool {
         self.fill();
         self.is_gone.get()
     }
 
-    /// Reads what is there.
+    /// Reads what is available into the inbox.
     pub(super) fn fill(&self) {
         let mut chunk = [0; READ_BYTES];
         let mut inbox = self.inbox.borrow_mut();
@@ -49,12 +49,12 @@
         self.inbox.borrow().len() < MAX_READ_AHEAD
     }
 
-    /// Writes all of it.
+    /// Writes all bytes.
     pub(super) async fn write(&self, bytes: &[u8]) -> io::Result<()> {
-        let mut left = bytes;
-        while !left.is_empty() {
-            match self.stream.try_write(left) {
-                Ok(written) => left = &left[written..],
+        let mut unsent = bytes;
+        while !unsent.is_empty() {
+            match self.stream.try_write(unsent) {
+                Ok(written) => unsent = &unsent[written..],
                 Err(e) if e.kind() == ErrorKind::WouldBlock => self.stream.writable().await?,
                 Err(e) => return Err(e),
             }
@@ -63,7 +63,8 @@
     }
 }
 
-/// Closes gently; see the module's head.
+/// Shuts down the write half, and drops what the caller still sends, so that closing doesn't reset
+/// the connection before the caller has read the last response.
 pub(super) async fn linger(caller: &Caller) {
     if caller.is_gone.get()
         || socket2::SockRef::from(&caller.stream).shutdown(std::net::Shutdown::Write).is_err()
--- a/crates/gateway/src/ingress/render.rs
+++ b/crates/gateway/src/ingress/render.rs
@@ -1,4 +1,4 @@
-//! Answers as bytes.
+//! Serializes responses to callers.
 
 use crate::host::Host;
 use crate::http1::{ResponseWriter, is_hop_by_hop};
@@ -6,34 +6,34 @@
 use dispatch::attempts::Refusal;
 use rand::RngExt;
 
-/// Part by which the time to come back is jittered, so that refused callers spread.
+/// Share by which `retry-after` is extended at most, at random, so that refused callers spread out.
 const RETRY_JITTER: f64 = 1.0;
 
-/// An answer's bytes.
-pub(super) fn render(host: &Host, request: &Request, reply: &Reply, closes: bool) -> Vec<u8> {
+/// Returns the bytes of a response or refusal.
+pub(super) fn render(host: &Host, request: &Request, reply: &Reply, should_close: bool) -> Vec<u8> {
     match reply {
-        Reply::Refused(refusal) => render_refusal(host, Some(request), *refusal, closes),
-        Reply::Response(answer) => {
-            let status = answer.head.status;
-            let fields = &answer.head.fields;
+        Reply::Refused(refusal) => render_refusal(host, Some(request), *refusal, should_close),
+        Reply::Response(response) => {
+            let status = response.head.status;
+            let fields = &response.head.fields;
             let mut writer = ResponseWriter::new(status);
             for (name, value) in fields.iter().filter(|(name, _)| !is_hop_by_hop(name, fields)) {
                 writer = writer.field(name, value);
             }
             match request.head.method == "HEAD" {
-                true => writer.no_body(fields.all("content-length").next(), closes),
-                false => writer.body(status, &answer.body, closes),
+                true => writer.no_body(fields.all("content-length").next(), should_close),
+                false => writer.body(status, &response.body, should_close),
             }
         }
     }
 }
 
-/// Bytes of a final answer of the host's own; of no request if it could not be read.
+/// Returns the bytes of a refusal; `request` is none if the request could not be read.
 pub(super) fn render_refusal(
     host: &Host,
     request: Option<&Request>,
     refusal: Refusal,
-    closes: bool,
+    should_close: bool,
 ) -> Vec<u8> {
     let status = refusal.cause.status();
     let mut writer =
@@ -48,7 +48,7 @@
         writer = writer.field("retry-after", seconds.as_bytes());
     }
     match request.is_some_and(|request| request.head.method == "HEAD") {
-        true => writer.no_body(None, closes),
-        false => writer.body(status, b"", closes),
+        true => writer.no_body(None, should_close),
+        false => writer.body(status, b"", should_close),
     }
 }
