--- a/crates/gateway/tests/http1.rs
+++ b/crates/gateway/tests/http1.rs
@@ -1,4 +1,4 @@
-//! Framing: what is taken, what is refused, and where bodies end.
+//! Framing of requests and responses: what is accepted and refused, and where bodies end.
 #![allow(clippy::unwrap_used)]
 
 use gateway::http1::{
@@ -30,10 +30,14 @@
     Framing::Length(0),
     false
 )]
-#[case::old("GET /a HTTP/1.0\r\nHost: x\r\n\r\n", Framing::Length(0), false)]
-#[case::old_kept("GET /a HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", Framing::Length(0), true)]
+#[case::http_1_0("GET /a HTTP/1.0\r\nHost: x\r\n\r\n", Framing::Length(0), false)]
+#[case::http_1_0_keep_alive(
+    "GET /a HTTP/1.0\r\nConnection: keep-alive\r\n\r\n",
+    Framing::Length(0),
+    true
+)]
 #[case::empty_lines_before("\r\n\r\nGET /a HTTP/1.1\r\nHost: x\r\n\r\n", Framing::Length(0), true)]
-fn requests_that_are_taken(#[case] text: &str, #[case] framing: Framing, #[case] keeps: bool) {
+fn valid_requests_are_parsed(#[case] text: &str, #[case] framing: Framing, #[case] keeps: bool) {
     let head = request(text).unwrap().unwrap();
     assert_eq!((head.framing, head.keeps_alive), (framing, keeps));
     assert_eq!(head.path(), "/a");
@@ -58,7 +62,7 @@
     "POST / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n",
     HeadError::BadEncoding
 )]
-#[case::chunks_in_old_version(
+#[case::chunks_in_http_1_0(
     "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n",
     HeadError::BadEncoding
 )]
@@ -68,7 +72,7 @@
 #[case::space_before_colon("GET / HTTP/1.1\r\nA : b\r\n\r\n", HeadError::Malformed)]
 #[case::no_version("GET /\r\n\r\n", HeadError::Malformed)]
 #[case::two_hosts("GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", HeadError::Malformed)]
-fn requests_that_are_refused(#[case] text: &str, #[case] error: HeadError) {
+fn malformed_requests_are_refused(#[case] text: &str, #[case] error: HeadError) {
     assert_eq!(request(text).unwrap_err(), RequestError::Head(error));
 }
 
@@ -81,19 +85,19 @@
 }
 
 #[test]
-fn a_head_that_is_not_whole_is_waited_for() {
+fn an_incomplete_head_is_not_parsed_yet() {
     assert!(request("GET / HTTP/1.1\r\nHost: x\r\n").unwrap().is_none());
 }
 
 #[test]
-fn what_stands_behind_a_head_stays() {
+fn bytes_after_a_head_stay_in_the_buffer() {
     let mut buffer = b"GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n".to_vec();
     assert_eq!(read_request(&mut buffer, MAX_HEAD).unwrap().unwrap().target, "/1");
     assert_eq!(read_request(&mut buffer, MAX_HEAD).unwrap().unwrap().target, "/2");
     assert!(buffer.is_empty());
 }
 
-/// Feeds a body byte by byte; returns its end, the body and what is left.
+/// Feeds a body byte by byte; returns the last result, the body and the remaining bytes.
 fn body(framing: Framing, text: &str) -> (Result<BodyProgress, HeadError>, String, String) {
     let mut reader = BodyReader::new(framing, 64);
     let mut buffer = Vec::new();
@@ -112,7 +116,7 @@
 #[case::length(Framing::Length(5), "helloGET", "hello", "GET")]
 #[case::chunks(Framing::Chunked, "5\r\nhello\r\n1;x=y\r\n!\r\n0\r\n\r\nGET", "hello!", "GET")]
 #[case::trailers(Framing::Chunked, "2\r\nhi\r\n0\r\nA: b\r\n\r\nGET", "hi", "GET")]
-fn bodies_end_where_they_end(
+fn bodies_end_as_their_framing_says(
     #[case] framing: Framing,
     #[case] text: &str,
     #[case] wanted: &str,
@@ -127,7 +131,7 @@
 #[case::signed_size("-1\r\n", HeadError::BadEncoding)]
 #[case::bare_line_feed("5\nhello\n", HeadError::BareLineFeed)]
 #[case::data_past_its_size("2\r\nhello\r\n", HeadError::BadEncoding)]
-fn faulty_chunks_are_refused(#[case] text: &str, #[case] error: HeadError) {
+fn malformed_chunks_are_refused(#[case] text: &str, #[case] error: HeadError) {
     assert_eq!(body(Framing::Chunked, text).0, Err(error));
 }
 
@@ -150,13 +154,13 @@
     Framing::Length(2),
     false
 )]
-#[case::after_an_interim_one(
+#[case::after_an_interim_response(
     "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n",
     true,
     Framing::Length(2),
     true
 )]
-fn answers_that_are_taken(
+fn valid_responses_are_parsed(
     #[case] text: &str,
     #[case] has_body: bool,
     #[case] framing: Framing,
@@ -167,15 +171,15 @@
 }
 
 #[rstest]
-#[case::no_answer("SSH-2.0\r\n")]
-#[case::beginning_of_none("HTTQ")]
+#[case::no_http("SSH-2.0\r\n")]
+#[case::no_beginning_of_http("HTTQ")]
 #[case::two_lengths("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n")]
-fn answers_that_are_none(#[case] text: &str) {
+fn malformed_responses_are_refused(#[case] text: &str) {
     assert!(read_response(&mut text.as_bytes().to_vec(), true).is_err());
 }
 
 #[test]
-fn a_request_is_passed_on_as_it_came_but_for_its_connection() {
+fn a_request_is_forwarded_without_its_hop_by_hop_headers() {
     let text = "POST /a?b HTTP/1.1\r\nHost: x\r\nConnection: keep-alive, X-Own\r\nX-Own: 1\r\n\
                 Transfer-Encoding: chunked\r\nX-Deadline: 900\r\nExpect: 100-continue\r\nX-Any: 2\r\n\r\n";
     let head = request(text).unwrap().unwrap();
--- a/crates/gateway/tests/serving.rs
+++ b/crates/gateway/tests/serving.rs
@@ -1,4 +1,4 @@
-//! Requests through a whole gateway, with upstreams that misbehave.
+//! Requests through a gateway, with upstreams that misbehave.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -8,8 +8,9 @@
 use support::upstream::{Act, StandInUpstream};
 use support::{callers, on_one_thread, ready, until, upstream_item};
 
-/// One request against one upstream that plays an act first; the status, and how often it was seen.
-async fn one(request: String, act: Act) -> (support::caller::Got, usize) {
+/// Sends one request through a gateway with one upstream; returns the response, and the number of
+/// requests that the upstream received.
+async fn send_one(request: String, act: Act) -> (support::caller::Got, usize) {
     let upstream = StandInUpstream::start("i-1").await;
     let (gateway, _) = ready(&[&upstream]).await;
     upstream.plays([act]);
@@ -21,16 +22,16 @@
 #[case::answer(Act::Answer, 200, 1)]
 #[case::unframed(Act::Unframed, 200, 1)]
 #[case::error_of_its_own(Act::Status(500), 500, 1)]
-#[case::promise_without_proof(Act::Status(503), 502, 1)]
-#[case::limit_without_proof(Act::Bare(429), 502, 1)]
+#[case::unavailable_without_not_run_header(Act::Status(503), 502, 1)]
+#[case::too_many_requests_without_not_run_header(Act::Bare(429), 502, 1)]
 #[case::success_without_seal(Act::NoSeal, 502, 1)]
 #[case::cut(Act::Cut, 502, 1)]
 #[case::garbage(Act::Garbage, 502, 1)]
 #[case::reset(Act::Reset, 502, 1)]
 #[case::mute(Act::Mute, 504, 1)]
-fn at_most_once_is_sent_once(#[case] act: Act, #[case] status: u16, #[case] sent: usize) {
+fn at_most_once_requests_are_sent_once(#[case] act: Act, #[case] status: u16, #[case] sent: usize) {
     on_one_thread(async {
-        let (got, seen) = one(post("/once/x", "id-1", "{}"), act.clone()).await;
+        let (got, seen) = send_one(post("/once/x", "id-1", "{}"), act.clone()).await;
         assert_eq!((got.status, seen), (status, sent), "{act:?} {got:?}");
         assert_eq!(got.id, "id-1");
         assert!(got.retry_after.is_none());
@@ -40,18 +41,18 @@
 #[rstest]
 #[case::answer(Act::Answer)]
 #[case::success_without_seal(Act::NoSeal)]
-#[case::promise_without_proof(Act::Bare(503))]
+#[case::unavailable_without_not_run_header(Act::Bare(503))]
 #[case::error(Act::Status(500))]
 #[case::cut(Act::Cut)]
 #[case::garbage(Act::Garbage)]
 #[case::reset(Act::Reset)]
 #[case::shed(Act::Shed)]
-fn an_idempotent_request_is_sent_again_elsewhere(#[case] act: Act) {
+fn an_idempotent_request_is_retried_on_another_upstream(#[case] act: Act) {
     on_one_thread(async {
         let (first, second) =
             (StandInUpstream::start("i-1").await, StandInUpstream::start("i-2").await);
         let (gateway, _) = ready(&[&first, &second]).await;
-        // Whichever is chosen first misbehaves once.
+        // The first one is chosen first, and misbehaves once.
         first.plays([act.clone()]);
         second.tells_load("5,0,6,100");
         let got = Caller::connect(callers(&gateway)).await.ask(&get("/any/x", "id-1")).await;
@@ -61,14 +62,17 @@
     });
 }
 
-/// An upstream's own failure is kept while the request is sent once more, and is the answer if nothing
-/// better comes.
+/// An upstream's error response is kept while the request is retried, and delivered if the retry brings
+/// no better response.
 #[rstest]
 #[case::no_other_upstream(&[], 1)]
-#[case::the_other_breaks_off(&[Act::Reset], 2)]
+#[case::the_other_resets_the_connection(&[Act::Reset], 2)]
 #[case::the_other_refuses(&[Act::Shed], 2)]
-#[case::the_other_says_nothing(&[Act::Mute], 2)]
-fn a_failure_that_was_there_is_delivered(#[case] other: &'static [Act], #[case] sent: usize) {
+#[case::the_other_does_not_respond(&[Act::Mute], 2)]
+fn an_upstreams_error_is_delivered_if_its_retry_fails(
+    #[case] other: &'static [Act],
+    #[case] sent: usize,
+) {
     on_one_thread(async move {
         let first = StandInUpstream::start("i-1").await;
         let second = StandInUpstream::start("i-2").await;
@@ -77,7 +81,7 @@
         second.plays(other.iter().cloned());
         second.tells_load("5,0,6,100");
         let mut caller = Caller::connect(callers(&gateway)).await;
-        // Known to be there, so that the next goes to it first.
+        // The first upstream becomes known, so that the next request goes to it first.
         assert_eq!(caller.ask(&get("/any/x", "id-0")).await.status, 200);
         if !other.is_empty() {
             published.write("servers", upstream_item(second.id(), second.address()));
@@ -92,7 +96,7 @@
 }
 
 #[test]
-fn a_shed_request_that_must_run_once_is_sent_elsewhere() {
+fn a_shed_at_most_once_request_is_retried_on_another_upstream() {
     on_one_thread(async {
         let (first, second) =
             (StandInUpstream::start("i-1").await, StandInUpstream::start("i-2").await);
@@ -107,7 +111,7 @@
 }
 
 #[test]
-fn shed_everywhere_is_not_run_and_says_when_to_come_back() {
+fn a_request_shed_by_all_upstreams_is_refused_with_retry_after() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _) = ready(&[&upstream]).await;
@@ -120,7 +124,7 @@
 }
 
 #[test]
-fn an_upstream_gets_the_request_as_it_came() {
+fn a_request_is_forwarded_unchanged() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _) = ready(&[&upstream]).await;
@@ -140,7 +144,7 @@
 }
 
 #[test]
-fn an_extra_answer_goes_to_nobody() {
+fn an_extra_response_is_discarded() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _) = ready(&[&upstream]).await;
@@ -177,7 +181,7 @@
 }
 
 #[test]
-fn an_early_answer_ends_the_connection_to_the_upstream() {
+fn an_early_response_closes_the_connection_to_the_upstream() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _) = ready(&[&upstream]).await;
@@ -193,7 +197,7 @@
 }
 
 #[test]
-fn requests_behind_one_another_are_served_at_once_and_answered_in_order() {
+fn pipelined_requests_run_concurrently_and_are_answered_in_order() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _) = ready(&[&upstream]).await;
@@ -201,7 +205,7 @@
         let mut caller = Caller::connect(callers(&gateway)).await;
         let three: String = (0..3).map(|n| get("/any/x", &format!("id-{n}"))).collect();
         caller.send(&three).await;
-        // All three have arrived while the first is still at work.
+        // All three have arrived while the first is still being served.
         until("all arrived", || upstream.seen().len() == 3).await;
         for n in 0..3 {
             let got = caller.receive().await.unwrap();
@@ -211,7 +215,7 @@
 }
 
 #[test]
-fn a_request_that_must_run_once_waits_for_those_before_it() {
+fn a_pipelined_at_most_once_request_waits_for_earlier_ones() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _) = ready(&[&upstream]).await;
@@ -228,7 +232,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_takes_its_idempotent_request_along() {
+fn an_idempotent_request_is_cancelled_when_its_caller_disconnects() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _) = ready(&[&upstream]).await;
@@ -245,7 +249,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_does_not_break_off_what_must_run_once() {
+fn an_at_most_once_request_completes_when_its_caller_disconnects() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _) = ready(&[&upstream]).await;
@@ -278,7 +282,7 @@
 #[case::bare_line_feeds("GET /any/ HTTP/1.1\nHost: a.example\n\n", 400)]
 #[case::too_large("POST /once/ HTTP/1.1\r\nHost: a.example\r\nContent-Length: 100001\r\n\r\n", 413)]
 #[case::never_whole("GET /any/ HTTP/1.1\r\nHost: a.exa", 408)]
-fn faulty_requests_are_answered_and_never_run(#[case] text: &str, #[case] status: u16) {
+fn invalid_requests_are_refused_and_never_run(#[case] text: &str, #[case] status: u16) {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _) = ready(&[&upstream]).await;
@@ -289,7 +293,7 @@
 }
 
 #[test]
-fn a_good_request_before_a_faulty_one_is_served_and_nothing_behind_it() {
+fn a_valid_request_before_a_malformed_one_is_served_and_later_ones_are_not() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _) = ready(&[&upstream]).await;
@@ -297,15 +301,15 @@
         let all = [get("/any/x", "id-0"), "BAD\r\n\r\n".to_owned(), get("/any/x", "id-2")];
         caller.send(&all.concat()).await;
         assert_eq!(caller.receive().await.unwrap().id, "id-0");
-        let faulty = caller.receive().await.unwrap();
-        assert_eq!((faulty.status, faulty.closes), (400, true));
+        let malformed = caller.receive().await.unwrap();
+        assert_eq!((malformed.status, malformed.closes), (400, true));
         assert!(caller.receive().await.is_none());
         assert_eq!(upstream.seen().len(), 1);
     });
 }
 
 #[test]
-fn a_slow_upstream_is_left_to_others() {
+fn a_slow_upstream_is_avoided() {
     on_one_thread(async {
         let (slow, usual) =
             (StandInUpstream::start("i-1").await, StandInUpstream::start("i-2").await);
@@ -316,12 +320,12 @@
             caller.ask(&get("/any/x", &format!("id-{round}"))).await;
         }
         assert_eq!(usual.seen().len(), 20);
-        // Now they are the other way round, which is found out as soon as what they told is old.
+        // Now their loads are swapped, which is noticed once the load reports are outdated.
         slow.tells_load("0,0,6,100");
         usual.tells_load("0,0,6,700");
         let mut round = 20;
         while slow.seen().is_empty() {
-            assert!(round < 2_000, "nobody noticed");
+            assert!(round < 2_000, "the changed load was not noticed");
             caller.ask(&get("/any/x", &format!("id-{round}"))).await;
             round += 1;
         }
@@ -333,29 +337,29 @@
 }
 
 #[test]
-fn an_upstream_that_says_it_is_unwell_serves_only_where_nobody_else_does() {
+fn an_unwell_upstream_is_used_only_if_there_is_no_other() {
     on_one_thread(async {
-        let (ill, well) =
+        let (unwell, well) =
             (StandInUpstream::start("i-1").await, StandInUpstream::start("i-2").await);
-        let (gateway, published) = ready(&[&ill, &well]).await;
-        ill.is_well(false);
+        let (gateway, published) = ready(&[&unwell, &well]).await;
+        unwell.is_well(false);
         let mut caller = Caller::connect(callers(&gateway)).await;
         for round in 0..5 {
             caller.ask(&get("/any/x", &format!("id-{round}"))).await;
         }
-        assert!(ill.seen().is_empty());
+        assert!(unwell.seen().is_empty());
         published.remove(&"i-2".parse().unwrap());
         until("it is gone", || {
             gateway.host().upstreams.borrow().count_eligible(&support::service()) == 1
         })
         .await;
         assert_eq!(caller.ask(&get("/any/x", "id-9")).await.status, 200);
-        assert_eq!(ill.seen().len(), 1);
+        assert_eq!(unwell.seen().len(), 1);
     });
 }
 
 #[test]
-fn connections_are_kept() {
+fn connections_are_reused() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _) = ready(&[&upstream]).await;
@@ -368,21 +372,21 @@
 }
 
 #[test]
-fn an_answer_of_its_own_bears_no_seal() {
+fn a_refusal_by_the_host_has_no_seal() {
     on_one_thread(async {
-        let (got, _) = one(post("/once/x", "id-1", "{}"), Act::Reset).await;
+        let (got, _) = send_one(post("/once/x", "id-1", "{}"), Act::Reset).await;
         assert_eq!(got.cause, "upstream-failed");
         assert!(!got.is_sealed);
         assert!(got.body.is_empty());
     });
 }
 
-/// A gateway whose callers may be idle for a tenth of a second only.
-async fn impatient(upstream: &StandInUpstream) -> gateway::run::Gateway {
+/// Starts a gateway whose callers may be idle for 100 ms.
+async fn start_with_short_idle_timeout(upstream: &StandInUpstream) -> gateway::run::Gateway {
     let (gateway, published) = ready(&[upstream]).await;
-    let mut impatient = support::routing(2);
-    impatient.limits.idle_timeout_ms = domain::Millis(100);
-    published.write_routing(impatient);
+    let mut start_with_short_idle_timeout = support::routing(2);
+    start_with_short_idle_timeout.limits.idle_timeout_ms = domain::Millis(100);
+    published.write_routing(start_with_short_idle_timeout);
     until("it is in force", || {
         let table = gateway.host().table.borrow();
         table.as_ref().is_some_and(|table| table.routing().version == domain::Version(2))
@@ -392,35 +396,35 @@
 }
 
 #[test]
-fn a_caller_that_waits_for_longer_than_it_may_be_idle_is_not_taken_for_slow() {
+fn a_caller_that_waits_for_a_response_is_not_idle() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
-        let gateway = impatient(&upstream).await;
+        let gateway = start_with_short_idle_timeout(&upstream).await;
         upstream.plays([Act::Slow(500)]);
         let mut caller = Caller::connect(callers(&gateway)).await;
         let got = caller.ask(&get("/any/x", "id-1")).await;
         assert_eq!((got.status, got.id.as_str()), (200, "id-1"));
-        // Then it is idle, and nothing but the end comes.
+        // Then the connection is idle, and is closed.
         assert!(caller.receive().await.is_none());
     });
 }
 
 #[test]
-fn a_request_that_was_held_up_finds_its_idle_connection_open() {
+fn a_delayed_request_finds_its_idle_connection_open() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
-        let gateway = impatient(&upstream).await;
+        let gateway = start_with_short_idle_timeout(&upstream).await;
         let mut caller = Caller::connect(callers(&gateway)).await;
         assert_eq!(caller.ask(&get("/any/x", "id-1")).await.status, 200);
         tokio::time::sleep(std::time::Duration::from_millis(150)).await;
         assert_eq!(caller.ask(&get("/any/x", "id-2")).await.status, 200);
-        // It ends all the same.
+        // It is closed later.
         assert!(caller.receive().await.is_none());
     });
 }
 
 #[test]
-fn where_no_question_is_left_a_connection_is_opened_to_the_chosen_one_only() {
+fn without_probes_a_connection_is_opened_only_to_the_chosen_upstream() {
     on_one_thread(async {
         let upstreams = [
             StandInUpstream::start("i-1").await,
@@ -441,9 +445,10 @@
         let host = gateway.host();
         for upstream in &upstreams {
             let (id, now_ms) = (upstream.id().parse().unwrap(), host.now_ms());
-            for purse in [&host.probe_budget, &host.zone_probe_budget, &host.placement.probe_budget]
+            for budget in
+                [&host.probe_budget, &host.zone_probe_budget, &host.placement.probe_budget]
             {
-                assert!(purse.borrow_mut().try_spend(now_ms, &id, 1.0));
+                assert!(budget.borrow_mut().try_spend(now_ms, &id, 1.0));
             }
         }
         for round in 0..4 {
@@ -451,7 +456,7 @@
             let got = caller.ask(&post("/once/x", &format!("id-{round}"), "{}")).await;
             assert_eq!(got.status, 200);
             assert_eq!(connections() - before, 1);
-            // Longer than an idle connection is trusted with what must run once.
+            // Longer than an idle connection is trusted with an at-most-once request.
             tokio::time::sleep(std::time::Duration::from_millis(350)).await;
         }
     });
