--- a/crates/published/src/gossip.rs
+++ b/crates/published/src/gossip.rs
@@ -169,7 +169,7 @@
         }
         effects.extend(self.members.expire(now_ms).into_iter().map(Effect::PeerRemoved));
         if self.state.is_partial() {
-            self.fetch_from_any(now_ms, &mut effects);
+            self.fetch_snapshot_from_any(now_ms, &mut effects);
         }
         effects
     }
--- a/crates/published/src/gossip/joining.rs
+++ b/crates/published/src/gossip/joining.rs
@@ -1,11 +1,10 @@
-//! How a host that has just started comes to its first picture.
+//! How a host that has just started gets the published state.
 //!
-//! It serves first and meets the others later. It asks one seed after the other; a seed that
-//! holds the picture answers in one datagram with what the host needs to begin
-//! ([`BootstrapSnapshot`]), and says where the rest is to be had. The rest comes over a
-//! connection, from a host of the same availability zone that joined before, so the time until
-//! all hold it grows with the logarithm of the fleet. Nobody reads the source while a picture is
-//! on its way. Answering is the part of [`answering`].
+//! It sends a join message to one seed after the other. A seed that has the state answers with a
+//! [`BootstrapSnapshot`] in one datagram, enough to serve with, and with the hosts to fetch the
+//! full snapshot from. That one comes over a connection, from a host of the same availability zone
+//! that joined earlier, so the time until all have it grows with the logarithm of the fleet. A
+//! host that waits for it doesn't read the source. [`answering`] is the seed's part.
 
 mod answering;
 
@@ -18,56 +17,55 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A host that told that it reads the source is waited for so long: the whole of a large
-/// source, on a small machine.
-const READING_MS: Millis = Millis(800);
+/// How long to wait for a peer that is reading the source: a large source, on a small machine.
+const READER_WAIT_MS: Millis = Millis(800);
 
-/// One that holds nothing and does not read is asked again after a moment.
-const NOT_READING_MS: Millis = Millis(60);
+/// How long to wait after an answer from a peer that neither has the state nor reads it.
+const REJOIN_WAIT_MS: Millis = Millis(60);
 
-/// How long the rest of a picture is waited for; then the host reads by itself. A host that
-/// nothing harmed for 3 s has to hold what is published.
-const REST_MS: Millis = Millis(2_700);
+/// How long to wait for the full snapshot before this host reads the source itself. A host that
+/// has been undisturbed for 3 s must have what is published.
+const SNAPSHOT_WAIT_MS: Millis = Millis(2_700);
 
 /// The answer to a host that joins.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JoinReply {
-    /// Who answers.
+    /// The host that answers.
     pub from: Member,
-    /// Hosts that it knows.
+    /// Number of hosts that it knows.
     pub host_count: u32,
-    /// What it tells of the picture.
+    /// What it sends of the published state.
     pub bootstrap: Bootstrap,
 }
 
-/// What a host that joins is told of the picture.
+/// What a host that joins gets of the published state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Bootstrap {
     /// Nothing yet.
     NotReady {
-        /// Whether the source is being read there.
+        /// Whether the answering host is reading the source.
         is_reading: bool,
     },
-    /// Another host tells it: too many ask here.
+    /// Another host will answer, since too many have joined here.
     Redirect {
-        /// Where that host hears its peers.
+        /// The address where that host receives gossip.
         to: SocketAddr,
     },
-    /// All of it.
+    /// Everything.
     Complete(BootstrapSnapshot),
-    /// What to begin with, and where the rest is to be had.
+    /// A part to serve with, and where to fetch the full snapshot.
     Partial {
-        /// What to begin with.
+        /// The part.
         snapshot: BootstrapSnapshot,
-        /// Hosts that have the rest, or will have it soon.
+        /// Hosts that have the full snapshot, or will have it soon.
         rest_from: Vec<SocketAddr>,
-        /// When they will.
+        /// Delay before they are expected to have it.
         after_ms: Millis,
     },
 }
 
 impl JoinReply {
-    /// The same for a host that has to fetch everything: the items don't fit a datagram.
+    /// The same without items that don't fit a datagram; the host fetches everything.
     pub fn without_items(&self) -> JoinReply {
         let own = self.from.address;
         let bootstrap = match &self.bootstrap {
@@ -88,7 +86,7 @@
 }
 
 impl Gossip {
-    /// Whether this host still has to find somebody who tells it the picture, or knows nobody.
+    /// Whether this host needs a join answer: for the state, or because it knows no other host.
     pub fn is_joining(&self, now_ms: Millis) -> bool {
         match self.state.confirmed_ms() {
             Some(_) => self.members.count() <= 1,
@@ -96,13 +94,13 @@
         }
     }
 
-    /// Asks the next of the seeds.
+    /// Sends a join message to the next seed.
     pub fn join(&mut self, seeds: &[SocketAddr]) -> Vec<Effect> {
         let mut effects = Vec::new();
         if seeds.is_empty() {
             return effects;
         }
-        // Hosts that start together don't all ask the same.
+        // Hosts that start at the same time begin with different seeds.
         let first = self.members.own().seed() as usize;
         let seed = seeds[first.wrapping_add(self.joins_sent) % seeds.len()];
         self.joins_sent += 1;
@@ -111,7 +109,7 @@
         effects
     }
 
-    /// Takes the beginning of a whole reading of its own: enough to serve, and to help others to.
+    /// Merges the first page of this host's own full read: enough to serve, and to answer joins.
     pub fn apply_partial_items(&mut self, now_ms: Millis, items: Vec<Entry<Item>>) -> Vec<Effect> {
         let state_changes = self.state.apply_items(items);
         let mut effects = vec![Effect::StateUpdated { state_changes, from: Origin::Source }];
@@ -128,71 +126,69 @@
         effects: &mut Vec<Effect>,
     ) {
         let JoinReply { from, host_count, bootstrap } = reply;
-        let teller = from.host.clone();
+        let peer = from.host.clone();
         self.record_member(now_ms, from, effects);
-        self.members.record_response(&teller);
+        self.members.record_response(&peer);
         self.members.record_fleet_size(now_ms, host_count);
         if self.state.confirmed_ms().is_some() {
             return;
         }
         match bootstrap {
             Bootstrap::NotReady { is_reading: true } => {
-                self.extend_bootstrap_wait(now_ms, READING_MS)
+                self.extend_bootstrap_wait(now_ms, READER_WAIT_MS)
             }
             Bootstrap::NotReady { is_reading: false } => {
-                self.extend_bootstrap_wait(now_ms, NOT_READING_MS)
+                self.extend_bootstrap_wait(now_ms, REJOIN_WAIT_MS)
             }
             Bootstrap::Redirect { to } => {
-                self.extend_bootstrap_wait(now_ms, READING_MS);
+                self.extend_bootstrap_wait(now_ms, READER_WAIT_MS);
                 let from = self.members.own().clone();
                 self.send(Message::Join { from, is_redirected: true }, vec![to], effects);
             }
-            Bootstrap::Complete(snapshot) => {
-                self.apply_bootstrap(now_ms, teller, snapshot, effects)
-            }
-            // Two that read and tell each other what they have so far must not both wait.
+            Bootstrap::Complete(snapshot) => self.apply_bootstrap(now_ms, peer, snapshot, effects),
+            // Two hosts that read the source and answer each other's joins must not both wait.
             Bootstrap::Partial { snapshot, .. } if self.joins.is_reading() => {
-                self.apply_bootstrap(now_ms, teller, snapshot, effects);
+                self.apply_bootstrap(now_ms, peer, snapshot, effects);
             }
             Bootstrap::Partial { snapshot, rest_from, after_ms } => {
-                self.extend_bootstrap_wait(now_ms, REST_MS);
-                let wanted = snapshot.revision;
-                self.apply_bootstrap(now_ms, teller, snapshot, effects);
-                self.fetch_rest(now_ms, wanted, (rest_from, after_ms), effects);
+                self.extend_bootstrap_wait(now_ms, SNAPSHOT_WAIT_MS);
+                let min_revision = snapshot.revision;
+                self.apply_bootstrap(now_ms, peer, snapshot, effects);
+                self.fetch_snapshot(now_ms, min_revision, (rest_from, after_ms), effects);
             }
         }
     }
 
-    /// Something of the first picture is on its way; promises don't go on for ever.
+    /// Extends the wait for a snapshot, up to [`SNAPSHOT_WAIT_MS`] after the first promise.
     pub(super) fn extend_bootstrap_wait(&mut self, now_ms: Millis, for_ms: Millis) {
         let first_ms = *self.promised_at_ms.get_or_insert(now_ms);
-        let until_ms = (now_ms + for_ms).min(first_ms + REST_MS);
+        let until_ms = (now_ms + for_ms).min(first_ms + SNAPSHOT_WAIT_MS);
         self.wait_until_ms = self.wait_until_ms.max(until_ms);
     }
 
     fn apply_bootstrap(
         &mut self,
         now_ms: Millis,
-        teller: HostId,
+        peer: HostId,
         snapshot: BootstrapSnapshot,
         effects: &mut Vec<Effect>,
     ) {
         let state_changes = self.state.apply_bootstrap(now_ms - snapshot.age_ms, snapshot);
-        effects.push(Effect::StateUpdated { state_changes, from: Origin::Peer(teller) });
+        effects.push(Effect::StateUpdated { state_changes, from: Origin::Peer(peer) });
         if self.state.can_bootstrap() {
             self.answer_next_joins(now_ms, effects);
         }
     }
 
-    /// The rest did not come from where it was promised: any host is asked.
-    pub(super) fn fetch_from_any(&mut self, now_ms: Millis, effects: &mut Vec<Effect>) {
+    /// Fetches the full snapshot from any host, after the promised hosts did not deliver it.
+    pub(super) fn fetch_snapshot_from_any(&mut self, now_ms: Millis, effects: &mut Vec<Effect>) {
         let others: Vec<SocketAddr> = self.members.others().map(|m| m.address).collect();
         let Some(&any) = others.choose(&mut self.rng) else { return };
         let from = self.fetch_candidates(any);
-        self.fetch_rest(now_ms, self.state.revision(), (from, Millis::ZERO), effects);
+        self.fetch_snapshot(now_ms, self.state.revision(), (from, Millis::ZERO), effects);
     }
 
-    fn fetch_rest(
+    fn fetch_snapshot(
         &mut self,
         now_ms: Millis,
         min_revision: Revision,
--- a/crates/published/src/gossip/joining/answering.rs
+++ b/crates/published/src/gossip/joining/answering.rs
@@ -1,9 +1,9 @@
-//! Answering hosts that join.
+//! A host's answers to others that join.
 //!
-//! Hundreds may join within half a second, and the seed that they ask is a machine like any
-//! other. So it answers in one datagram, passes on the whole picture to one host of each
-//! availability zone only, and past some number sends hosts on to those that were answered
-//! first. Each host gives [`FAN_OUT`] copies of the picture; no link carries more.
+//! Hundreds of hosts may join within half a second through a seed no larger than they are. So the
+//! seed answers in one datagram, sends the full snapshot to only one host of each availability
+//! zone, and beyond a limit redirects hosts to those that joined first. Each host sends the full
+//! snapshot to at most [`FAN_OUT`] others, in a tree for each zone.
 
 use super::{Bootstrap, JoinReply};
 use crate::Member;
@@ -13,68 +13,65 @@
 use std::cmp::Reverse;
 use std::net::SocketAddr;
 
-/// Hosts that each host passes the whole picture on to. Four copies of 75 kB take a link of
-/// 20 Mbit/s 0.12 s.
+/// Hosts that each host sends the full snapshot to. Four copies of 75 kB take 0.12 s on a link of
+/// 20 Mbit/s.
 const FAN_OUT: usize = 4;
 
-/// Time that a host is given to fetch a small picture and to pass it on.
-const PASS_ON_MS: u64 = 60;
+/// Time for a host to fetch a small snapshot and to send it on.
+const FORWARD_MS: u64 = 60;
 
-/// The same for each thousand upstreams: [`FAN_OUT`] copies over a link of 20 Mbit/s.
-const PASS_ON_THOUSAND_MS: u64 = 80;
+/// Additional time for each thousand upstreams: [`FAN_OUT`] copies over a link of 20 Mbit/s.
+const FORWARD_PER_THOUSAND_MS: u64 = 80;
 
-/// A small link, by which the figures below go; a host behind a faster one does as many times as
-/// much.
-const SMALL_LINK_MBPS: u32 = 20;
+/// Link speed that the limits below assume; they are multiplied for a host with a faster link.
+const REFERENCE_LINK_MBPS: u32 = 20;
 
-/// Hosts that are answered here; the others are sent on. Thirty-two answers take a link of
-/// 20 Mbit/s 20 ms, and a tenth of a core as long.
-const MOST_ANSWERED: usize = 32;
+/// Number of hosts that are answered here; more are redirected. The answers take a link of
+/// 20 Mbit/s, or a tenth of a core, 20 ms.
+const MAX_ANSWERED: usize = 32;
 
-/// Bytes that are answered at once where many wait. On a full link datagrams are lost: in virtual
-/// time nine in ten of 472 hosts served 24 ms later where all answers left together.
-const ANSWERED_AT_ONCE: ByteCount = ByteCount(12_000);
+/// Bytes of answers that are sent in a row: a full link drops datagrams.
+const ANSWER_BURST_BYTES: ByteCount = ByteCount(12_000);
 
-/// Pause before the next are answered: twice what a link of 20 Mbit/s needs for those.
+/// Pause after each such row: twice the time that a link of 20 Mbit/s needs for it.
 const ANSWER_PAUSE_MS: Millis = Millis(10);
 
-/// About the size of an answer that holds a snapshot, and of one that sends a host on.
+/// Approximate sizes of an answer with a snapshot and of a redirect.
 const ANSWER_BYTES: ByteCount = ByteCount(1_400);
 const REDIRECT_BYTES: ByteCount = ByteCount(150);
 
-/// The first so many of them answer for this host: the most capable of those that waited.
+/// Number of hosts that others are redirected to: the most capable of those that waited.
 const REDIRECT_TARGETS: usize = 16;
 
-/// A host that asks again within this time has its answer on the way.
-const ANSWER_AGAIN_MS: Millis = Millis(150);
+/// A repeated join within this time is ignored, since the answer to the first may be on its way.
+const REPEATED_JOIN_MS: Millis = Millis(150);
 
-/// Hosts that joined within this time pass the picture on to each other; later ones have the
-/// seed to themselves.
-const TOGETHER_MS: Millis = Millis(2_000);
+/// Hosts that join with smaller gaps than this form one group, whose members send each other the
+/// full snapshot. After a longer gap the next group starts at the seed.
+const MAX_GROUP_GAP_MS: Millis = Millis(2_000);
 
-/// Hosts that joined are announced together after this time: all that started with them.
-const ANNOUNCE_AFTER_MS: Millis = Millis(150);
+/// Delay before joined hosts are announced, so that those that started together share a message.
+const ANNOUNCE_DELAY_MS: Millis = Millis(150);
 
-/// Most hosts that are announced. Where more start at once their lists come with the whole
-/// picture, and what is missing by greetings: telling a zone of 100 hosts of 150 others took a
-/// seed's link of 20 Mbit/s 0.4 s, in which nobody was told a first picture.
-const MOST_ANNOUNCED: usize = 24;
+/// Largest number of joined hosts that are announced. Larger groups learn of each other from the
+/// member lists in fetch replies and hellos, as announcing them would delay the join answers.
+const MAX_ANNOUNCED: usize = 24;
 
-/// What a host knows of those that join through it.
+/// State of the hosts that join through this one.
 #[derive(Debug, Default)]
 pub(in crate::gossip) struct JoinState {
-    /// They asked while nothing was held here, or while others were being answered.
+    /// Hosts to answer once there is a state to send, or after the next pause.
     waiting: FastMap<HostId, Waiting>,
-    /// Whether the next of them are answered after a pause.
-    is_answering: bool,
-    /// Those that were answered lately, in that order.
+    /// Whether a pause between answers is under way.
+    is_pausing: bool,
+    /// Recently answered hosts, in the order of their first joins.
     answered: Vec<Answered>,
     answered_ms: Millis,
-    /// Heard of for the first time, and not logged yet: hundreds that join make one line.
-    heard: Vec<HostId>,
-    /// Not announced to the fleet yet.
+    /// New hosts that are not logged yet; one log line covers all that join together.
+    new_hosts: Vec<HostId>,
+    /// Joined hosts that are not announced to the fleet yet.
     unannounced: Vec<Member>,
-    /// Whether the source is being read here for the first time.
+    /// Whether this host's first full read of the source is under way.
     is_reading: bool,
 }
 
@@ -91,17 +88,17 @@
     at_ms: Millis,
 }
 
-/// The place of a host in the tree of its availability zone.
+/// Index of a host in its zone's distribution tree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Position(usize);
 
 impl Position {
-    /// Whose copy it takes; none for the first, which takes that of the host that answers.
+    /// The host that it fetches from; `None` for the first, which fetches from the answering host.
     fn parent(self) -> Option<Position> {
         self.0.checked_sub(1).map(|before| Position(before / FAN_OUT))
     }
 
-    /// Copies between that of the host that answers and its own.
+    /// Number of hosts between it and the answering host.
     fn depth(self) -> u64 {
         self.parent().map_or(0, |parent| 1 + parent.depth())
     }
@@ -112,15 +109,15 @@
         self.is_reading
     }
 
-    /// What another host announces need not be announced here too.
+    /// Drops hosts that another host has announced already.
     pub(in crate::gossip) fn remove_announced(&mut self, members: &[Member]) {
         self.unannounced.retain(|member| !members.contains(member));
     }
 
-    /// The number of a host among those that joined lately; none if it was answered just now.
-    /// A host that asks again keeps its number.
-    fn number(&mut self, now_ms: Millis, member: &Member) -> Option<usize> {
-        if now_ms.since(self.answered_ms) > TOGETHER_MS {
+    /// Index of a host in its group; `None` if it was answered too recently. A host that joins
+    /// again keeps its index.
+    fn index_in_group(&mut self, now_ms: Millis, member: &Member) -> Option<usize> {
+        if now_ms.since(self.answered_ms) > MAX_GROUP_GAP_MS {
             self.answered.clear();
         }
         self.answered_ms = now_ms;
@@ -132,25 +129,26 @@
             return Some(self.answered.len() - 1);
         };
         let at_ms = std::mem::replace(&mut self.answered[known].at_ms, now_ms);
-        (now_ms.since(at_ms) >= ANSWER_AGAIN_MS).then_some(known)
+        (now_ms.since(at_ms) >= REPEATED_JOIN_MS).then_some(known)
     }
 }
 
 impl Gossip {
-    /// Whether the source is being read here for a first picture: who joins may wait for it, and
-    /// this host waits for nobody.
+    /// Sets whether this host's first full read of the source is under way. Meanwhile joining hosts
+    /// wait for it, and it doesn't wait for others.
     pub fn set_initial_read(&mut self, is_reading: bool) {
         self.joins.is_reading = is_reading;
     }
 
-    /// Tells the fleet of those that joined through this host.
+    /// Announces the hosts that joined through this one.
     pub fn announce_joined(&mut self, now_ms: Millis) -> Vec<Effect> {
-        let heard = std::mem::take(&mut self.joins.heard);
-        let mut effects = vec![Effect::PeersDiscovered(heard)];
+        let new_hosts = std::mem::take(&mut self.joins.new_hosts);
+        let mut effects = vec![Effect::PeersDiscovered(new_hosts)];
         let members = std::mem::take(&mut self.joins.unannounced);
-        if (1..=MOST_ANNOUNCED).contains(&members.len()) {
-            let known = |should_relay| Message::Members { members: members.clone(), should_relay };
-            self.broadcast(now_ms, known, &mut effects);
+        if (1..=MAX_ANNOUNCED).contains(&members.len()) {
+            let message =
+                |should_relay| Message::Members { members: members.clone(), should_relay };
+            self.broadcast(now_ms, message, &mut effects);
         }
         effects
     }
@@ -163,11 +161,11 @@
         effects: &mut Vec<Effect>,
     ) {
         if self.members.record(now_ms, member.clone()) {
-            if self.joins.heard.is_empty() {
-                effects.push(Effect::AnnounceJoined { delay_ms: ANNOUNCE_AFTER_MS });
+            if self.joins.new_hosts.is_empty() {
+                effects.push(Effect::AnnounceJoined { delay_ms: ANNOUNCE_DELAY_MS });
             }
-            self.joins.heard.push(member.host.clone());
-            // Those that are sent here came in hundreds; see [`MOST_ANNOUNCED`].
+            self.joins.new_hosts.push(member.host.clone());
+            // Redirected hosts belong to a large group; see [`MAX_ANNOUNCED`].
             if !is_redirected {
                 self.joins.unannounced.push(member.clone());
             }
@@ -184,50 +182,50 @@
         }
     }
 
-    /// Answers some of those that wait, as far as something is held, the most capable first: the
-    /// others take their copies.
+    /// Answers the waiting hosts, up to the limit for one row, once there is a state to send. The
+    /// most capable come first, since others fetch from them.
     pub(in crate::gossip) fn answer_next_joins(
         &mut self,
         now_ms: Millis,
         effects: &mut Vec<Effect>,
     ) {
-        if self.joins.waiting.is_empty() || self.joins.is_answering {
+        if self.joins.waiting.is_empty() || self.joins.is_pausing {
             return;
         }
         let waiting = std::mem::take(&mut self.joins.waiting);
         let mut waiting: Vec<Waiting> = waiting.into_values().collect();
         waiting.sort_by_key(|w| (Reverse(w.member.capacity), w.member.address));
-        let at_once = ByteCount(ANSWERED_AT_ONCE.0 * self.times_small_link() as u64);
-        let mut spent = ByteCount(0);
+        let burst = ByteCount(ANSWER_BURST_BYTES.0 * self.link_factor() as u64);
+        let mut sent = ByteCount(0);
         for Waiting { member, is_redirected } in waiting {
-            if spent >= at_once {
+            if sent >= burst {
                 let host = member.host.clone();
                 self.joins.waiting.insert(host, Waiting { member, is_redirected });
                 continue;
             }
             let bytes = self.answer_join(now_ms, &member, is_redirected, effects);
-            spent = ByteCount(spent.0 + bytes.0);
+            sent = ByteCount(sent.0 + bytes.0);
         }
         if !self.joins.waiting.is_empty() {
-            self.joins.is_answering = true;
+            self.joins.is_pausing = true;
             effects.push(Effect::AnswerPendingJoins { delay_ms: ANSWER_PAUSE_MS });
         }
     }
 
-    /// Answers the next of those that wait.
+    /// Continues after a pause.
     pub fn answer_pending_joins(&mut self, now_ms: Millis) -> Vec<Effect> {
         let mut effects = Vec::new();
-        self.joins.is_answering = false;
+        self.joins.is_pausing = false;
         self.answer_next_joins(now_ms, &mut effects);
         effects
     }
 
-    /// How many times as fast as a small link that of this host is.
-    fn times_small_link(&self) -> usize {
-        (self.members.own().capacity.link_mbps / SMALL_LINK_MBPS).max(1) as usize
+    /// This host's link speed as a multiple of [`REFERENCE_LINK_MBPS`], at least 1.
+    fn link_factor(&self) -> usize {
+        (self.members.own().capacity.link_mbps / REFERENCE_LINK_MBPS).max(1) as usize
     }
 
-    /// Answers a host; returns about how many bytes that takes.
+    /// Answers a host; returns the approximate size of the answer.
     fn answer_join(
         &mut self,
         now_ms: Millis,
@@ -235,9 +233,9 @@
         is_redirected: bool,
         effects: &mut Vec<Effect>,
     ) -> ByteCount {
-        let Some(number) = self.joins.number(now_ms, member) else { return ByteCount(0) };
-        if number >= MOST_ANSWERED * self.times_small_link() && !is_redirected {
-            let to = self.joins.answered[number % REDIRECT_TARGETS].address;
+        let Some(index) = self.joins.index_in_group(now_ms, member) else { return ByteCount(0) };
+        if index >= MAX_ANSWERED * self.link_factor() && !is_redirected {
+            let to = self.joins.answered[index % REDIRECT_TARGETS].address;
             self.send_join_reply(Bootstrap::Redirect { to }, member.address, effects);
             return REDIRECT_BYTES;
         }
@@ -247,7 +245,7 @@
         let bootstrap = match snapshot.is_complete {
             true => Bootstrap::Complete(snapshot),
             false => {
-                let (rest_from, after_ms) = self.rest_for(number, zone);
+                let (rest_from, after_ms) = self.snapshot_sources(index, zone);
                 Bootstrap::Partial { snapshot, rest_from, after_ms }
             }
         };
@@ -255,10 +253,10 @@
         ANSWER_BYTES
     }
 
-    /// Where a host finds the rest of the picture, and when: with one of its zone that joined
-    /// before it, the first of a zone here.
-    fn rest_for(&mut self, number: usize, zone: &ZoneName) -> (Vec<SocketAddr>, Millis) {
-        let before = self.joins.answered[..number].iter().filter(|one| one.zone == *zone);
+    /// The hosts that a host fetches the full snapshot from, and the delay before it does: hosts of
+    /// its zone that joined before it, or this host for the first of a zone.
+    fn snapshot_sources(&mut self, index: usize, zone: &ZoneName) -> (Vec<SocketAddr>, Millis) {
+        let before = self.joins.answered[..index].iter().filter(|one| one.zone == *zone);
         let before: Vec<SocketAddr> = before.map(|one| one.address).collect();
         let position = Position(before.len());
         let from = match position.parent() {
@@ -266,10 +264,10 @@
             Some(parent) => vec![before[parent.0], before[self.rng.random_range(0..=parent.0)]],
         };
         let upstreams = self.state.upstreams().count() as u64;
-        let pass_on_ms = PASS_ON_MS + PASS_ON_THOUSAND_MS * upstreams / 1_000;
-        // What is held here may be a beginning itself.
-        let is_late = self.state.confirmed_ms().is_none();
-        (from, Millis(pass_on_ms * (position.depth() + u64::from(is_late))))
+        let forward_ms = FORWARD_MS + FORWARD_PER_THOUSAND_MS * upstreams / 1_000;
+        // This host itself may still lack the full snapshot.
+        let is_incomplete = self.state.confirmed_ms().is_none();
+        (from, Millis(forward_ms * (position.depth() + u64::from(is_incomplete))))
     }
 
     fn send_join_reply(&self, bootstrap: Bootstrap, to: SocketAddr, effects: &mut Vec<Effect>) {
--- a/crates/published/src/gossip/receiving.rs
+++ b/crates/published/src/gossip/receiving.rs
@@ -187,8 +187,8 @@
         effects.push(Effect::Fetch(fetch));
     }
 
-    /// The hosts to fetch from: the sender, then local-zone peers, which may have it by now, as a host
-    /// answers few large fetches at once. While this host has no full snapshot, local-zone
+    /// The hosts to fetch from: the sender, then local-zone peers, which may have it by now, as
+    /// a host answers few large fetches at once. While this host has no full snapshot, local-zone
     /// peers come first: they have the same, and their traffic is free.
     pub(super) fn fetch_candidates(&mut self, sender: SocketAddr) -> Vec<SocketAddr> {
         let mut local_peers = self.members.local_zone_peers();
