--- a/crates/published/src/members.rs
+++ b/crates/published/src/members.rs
@@ -1,9 +1,9 @@
-//! The entry hosts of the site, as far as this one heard of them.
+//! The table of the site's hosts, as far as this one knows them.
 //!
-//! No list of them is published. A host asks the seed addresses of its settings, and
-//! whoever is asked tells whom it knows. The table serves two ends: who reads the source
-//! for all, and by how many a budget of the fleet is to be divided. The second must not
-//! grow while hosts are out of sight, so a host is forgotten long after it was last heard.
+//! No list of hosts is published. A host sends hellos to the seed addresses of its settings, and
+//! hosts exchange their tables. The table decides which host reads the source for all, and by how
+//! many hosts a budget of the fleet is divided. That number must not shrink while hosts are only
+//! out of reach, so a silent host stays in the table for long.
 
 mod recipients;
 
@@ -14,106 +14,104 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A host that was silent for so long has left. Longer than any outage that a budget's
-/// window of 10 s may span twice.
-const FORGET_MS: Millis = Millis(60_000);
+/// Time after which a silent host is removed. Longer than any outage that may span a budget's
+/// window of 10 s twice.
+const MEMBER_TIMEOUT_MS: Millis = Millis(60_000);
 
-/// The same for each host of a large fleet. Two hosts of `n` that each greet one peer every 3 s
-/// hear of each other every `1.5 n` seconds on average; eight such times without a word mean
-/// silence in all but 3 of 10,000 cases.
-const FORGET_EACH_MS: Millis = Millis(12_000);
+/// The same for each host of a large fleet. In a fleet of `n` hosts that each send a hello every
+/// 3 s, two hosts hear of each other every `1.5 n` seconds on average; eight such intervals without
+/// a message have a probability of 3 in 10,000.
+const MEMBER_TIMEOUT_PER_HOST_MS: Millis = Millis(12_000);
 
-/// How long it holds what another said of the size of the fleet: until lists were exchanged.
-const FLEET_TOLD_MS: Millis = Millis(10_000);
+/// How long a fleet size stated by a peer counts: until member lists are exchanged.
+const STATED_FLEET_MS: Millis = Millis(10_000);
 
-/// A reader that was silent for so long doesn't read; twice the time between its news.
-const READER_SILENT_MS: Millis = Millis(1_500);
+/// Time without an update after which a reader counts as inactive; twice the update interval.
+const READER_TIMEOUT_MS: Millis = Millis(1_500);
 
-/// A host that said farewell serves on for some seconds, until its process ends: so long it is
-/// told what is read. Untold, each host that stopped read for itself: with that, and hosts that had
-/// begun with a sample reading once more, 397 of the 588 calls of a day in which a third of 111
-/// hosts stopped in turn were waits at the source.
+/// How long a host that has announced its exit still gets updates. It serves on for some seconds
+/// until its process ends, and would read the source itself without them.
 const LEAVING_MS: Millis = Millis(8_000);
 
-/// A failed reading says something of the source for so long: some tries of the fleet.
-const READER_FAILED_MS: Millis = Millis(2_000);
+/// How long a failed read counts as a sign of an outage: a few retries of the fleet.
+const FAILED_READ_MS: Millis = Millis(2_000);
 
-/// What a host tells of itself.
+/// What a host states about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// Its id.
     pub host: HostId,
-    /// This run of it.
+    /// Its current run.
     pub incarnation: Incarnation,
-    /// Where it stands.
+    /// Its availability zone.
     pub availability_zone: ZoneName,
-    /// Where it hears its peers.
+    /// The address where it receives gossip.
     pub address: SocketAddr,
-    /// What its machine can do.
+    /// Capacity of its machine.
     pub capacity: Capacity,
 }
 
-/// What a machine can do, for work that one host does for many. Greater is more.
+/// Capacity of a machine, for work that one host does for others. Greater means more capable.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Capacity {
     /// Speed of its link.
     pub link_mbps: u32,
-    /// Its part of a core.
+    /// Share of a core.
     pub cpu_percent: u32,
 }
 
 impl Member {
-    /// Seed of this run's randomness.
+    /// Seed of this run's random numbers.
     ///
-    /// Machines that get their power back together start in the same microsecond. With the
-    /// time alone as seed they drew the same pauses and the same upstreams.
+    /// Includes the host's id, since machines that are powered on together start in the same
+    /// microsecond and would otherwise draw the same pauses and the same upstreams.
     pub fn seed(&self) -> u64 {
         reader_weight(self) ^ self.incarnation.0.wrapping_mul(SPREAD_BITS)
     }
 }
 
-/// Spreads small differences over all bits: 2^64 over the golden ratio.
+/// Spreads small differences over all bits: 2^64 divided by the golden ratio.
 const SPREAD_BITS: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The hosts heard of.
+/// The table of hosts.
 #[derive(Debug)]
 pub struct Members {
     own: Member,
-    /// How much this host is wanted as reader.
+    /// Rendezvous weight of this host as reader; the host with the greatest weight reads.
     own_weight: u64,
-    others: FastMap<HostId, Known>,
-    /// Hosts that said farewell, and when. They are told news, and count for nothing else.
+    others: FastMap<HostId, Peer>,
+    /// Hosts that announced their exit, and when. They only still get updates.
     leaving: FastMap<HostId, (Member, Millis)>,
     digest: u64,
     others_in_zone: u32,
-    /// When a host was last heard of for the first time, or in a new run.
+    /// When a host, or a new run of one, was last added.
     changed_ms: Millis,
-    told: ToldFleet,
+    stated_fleet: StatedFleet,
     wakefulness: Wakefulness,
 }
 
-/// Size of the fleet that another host told.
+/// The fleet size that a peer stated.
 #[derive(Debug, Default)]
-struct ToldFleet {
+struct StatedFleet {
     hosts: u32,
     at_ms: Millis,
 }
 
 #[derive(Debug)]
-struct Known {
+struct Peer {
     member: Member,
-    /// How much it is wanted as reader.
+    /// Rendezvous weight of the host as reader.
     weight: u64,
     heard_ms: Millis,
     read_ms: Option<Millis>,
-    /// When it last told that it could not read.
+    /// When it last reported a failed read.
     failed_ms: Option<Millis>,
-    /// When it was first asked to pass news on and has not been heard since.
-    asked_ms: Option<Millis>,
+    /// When it was first asked to relay a message that it has not responded to yet.
+    relay_asked_ms: Option<Millis>,
 }
 
 impl Members {
-    /// A table that holds this host alone.
+    /// A table with this host only.
     pub fn new(own: Member) -> Members {
         let (own_weight, digest) = (reader_weight(&own), own.seed());
         Members {
@@ -124,7 +122,7 @@
             digest,
             others_in_zone: 0,
             changed_ms: Millis::ZERO,
-            told: ToldFleet::default(),
+            stated_fleet: StatedFleet::default(),
             wakefulness: Wakefulness::default(),
         }
     }
@@ -134,43 +132,43 @@
         &self.own
     }
 
-    /// All others.
+    /// All other hosts.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
-        self.others.values().map(|known| &known.member)
+        self.others.values().map(|peer| &peer.member)
     }
 
-    /// This host and all others.
+    /// This host and all other hosts.
     pub fn all(&self) -> Vec<Member> {
         std::iter::once(&self.own).chain(self.others()).cloned().collect()
     }
 
-    /// How many hosts share the fleet's budgets.
+    /// Number of hosts that share the fleet's budgets.
     pub fn count(&self) -> u32 {
-        self.heard_of().max(self.told.hosts)
+        self.known_hosts().max(self.stated_fleet.hosts)
     }
 
-    fn heard_of(&self) -> u32 {
+    fn known_hosts(&self) -> u32 {
         u32::try_from(self.others.len()).unwrap_or(u32::MAX).saturating_add(1)
     }
 
-    /// Another said how many hosts it knows. That counts until their list is here.
+    /// Records a fleet size stated by a peer, which counts until the member lists arrive.
     pub fn record_fleet_size(&mut self, now_ms: Millis, hosts: u32) {
-        if hosts >= self.told.hosts {
-            self.told = ToldFleet { hosts, at_ms: now_ms };
+        if hosts >= self.stated_fleet.hosts {
+            self.stated_fleet = StatedFleet { hosts, at_ms: now_ms };
         }
     }
 
-    /// How many of them stand in this host's availability zone.
+    /// Number of hosts in this host's availability zone.
     pub fn count_in_zone(&self) -> u32 {
         self.others_in_zone.saturating_add(1)
     }
 
-    /// Equal for equal sets of runs.
+    /// Digest of the table; equal for equal sets of runs.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Takes what a host says of itself, or what another says of it; true if that was news.
+    /// Records a host, stated by itself or by a peer. Returns true if it or its run is new.
     pub fn record(&mut self, now_ms: Millis, member: Member) -> bool {
         if member.host == self.own.host {
             return false;
@@ -179,9 +177,9 @@
             return false;
         }
         match self.others.get_mut(&member.host) {
-            Some(known) if known.member.incarnation > member.incarnation => return false,
-            Some(known) if known.member == member => {
-                known.heard_ms = now_ms;
+            Some(peer) if peer.member.incarnation > member.incarnation => return false,
+            Some(peer) if peer.member == member => {
+                peer.heard_ms = now_ms;
                 return false;
             }
             _ => {}
@@ -189,137 +187,137 @@
         self.changed_ms = now_ms;
         self.leaving.remove(&member.host);
         let former = self.remove(&member.host);
-        let known = match former {
-            Some(known) => Known { heard_ms: now_ms, member, ..known },
-            None => Known {
+        let peer = match former {
+            Some(peer) => Peer { heard_ms: now_ms, member, ..peer },
+            None => Peer {
                 heard_ms: now_ms,
                 weight: reader_weight(&member),
                 read_ms: None,
                 failed_ms: None,
-                asked_ms: None,
+                relay_asked_ms: None,
                 member,
             },
         };
-        self.insert(known);
+        self.insert(peer);
         true
     }
 
-    fn insert(&mut self, known: Known) {
-        self.digest = self.digest.wrapping_add(known.member.seed());
-        self.others_in_zone += u32::from(self.is_near(&known.member));
-        self.others.insert(known.member.host.clone(), known);
+    fn insert(&mut self, peer: Peer) {
+        self.digest = self.digest.wrapping_add(peer.member.seed());
+        self.others_in_zone += u32::from(self.is_local(&peer.member));
+        self.others.insert(peer.member.host.clone(), peer);
     }
 
-    fn remove(&mut self, host: &HostId) -> Option<Known> {
-        let known = self.others.remove(host)?;
-        self.digest = self.digest.wrapping_sub(known.member.seed());
-        self.others_in_zone -= u32::from(self.is_near(&known.member));
-        Some(known)
+    fn remove(&mut self, host: &HostId) -> Option<Peer> {
+        let peer = self.others.remove(host)?;
+        self.digest = self.digest.wrapping_sub(peer.member.seed());
+        self.others_in_zone -= u32::from(self.is_local(&peer.member));
+        Some(peer)
     }
 
-    fn is_near(&self, member: &Member) -> bool {
+    fn is_local(&self, member: &Member) -> bool {
         member.availability_zone == self.own.availability_zone
     }
 
-    /// A host spoke itself: it is there.
+    /// Records that a host itself responded.
     pub fn record_response(&mut self, host: &HostId) {
-        if let Some(known) = self.others.get_mut(host) {
-            known.asked_ms = None;
+        if let Some(peer) = self.others.get_mut(host) {
+            peer.relay_asked_ms = None;
         }
     }
 
-    /// The host that hears its peers at an address.
+    /// The host that receives gossip at an address.
     pub fn host_at(&self, address: SocketAddr) -> Option<&HostId> {
         self.others().find(|member| member.address == address).map(|member| &member.host)
     }
 
-    /// Notes that a host just told what it read.
+    /// Records that a host has read the source.
     pub fn record_read(&mut self, now_ms: Millis, host: &HostId) {
-        if let Some(known) = self.others.get_mut(host) {
-            known.heard_ms = now_ms;
-            known.read_ms = Some(now_ms);
-            known.failed_ms = None;
+        if let Some(peer) = self.others.get_mut(host) {
+            peer.heard_ms = now_ms;
+            peer.read_ms = Some(now_ms);
+            peer.failed_ms = None;
         }
     }
 
-    /// Notes that a host just told that it could not read.
+    /// Records that a host failed to read the source.
     pub fn record_failed_read(&mut self, now_ms: Millis, host: &HostId) {
-        if let Some(known) = self.others.get_mut(host) {
-            known.heard_ms = now_ms;
-            known.failed_ms = Some(now_ms);
+        if let Some(peer) = self.others.get_mut(host) {
+            peer.heard_ms = now_ms;
+            peer.failed_ms = Some(now_ms);
         }
     }
 
-    /// How many hosts just told that they could not read, since any told that it could.
+    /// Number of hosts that recently failed to read the source, after the last successful read.
     pub fn failed_readers(&self, now_ms: Millis) -> usize {
-        let read_ms = self.others.values().filter_map(|known| known.read_ms).max();
+        let read_ms = self.others.values().filter_map(|peer| peer.read_ms).max();
         let counts = |at_ms: Millis| {
-            now_ms.since(at_ms) < READER_FAILED_MS && read_ms.is_none_or(|read_ms| read_ms < at_ms)
+            now_ms.since(at_ms) < FAILED_READ_MS && read_ms.is_none_or(|read_ms| read_ms < at_ms)
         };
-        self.others.values().filter(|known| known.failed_ms.is_some_and(counts)).count()
+        self.others.values().filter(|peer| peer.failed_ms.is_some_and(counts)).count()
     }
 
-    /// Drops a run of a host that said farewell.
+    /// Removes a run of a host that announced its exit. Returns false if it is unknown.
     pub fn remove_leaving(
         &mut self,
         now_ms: Millis,
         host: &HostId,
         incarnation: Incarnation,
     ) -> bool {
-        let is_it =
-            |known: &Known| known.member.host == *host && known.member.incarnation <= incarnation;
-        if !self.others.get(host).is_some_and(is_it) {
+        let is_this_run =
+            |peer: &Peer| peer.member.host == *host && peer.member.incarnation <= incarnation;
+        if !self.others.get(host).is_some_and(is_this_run) {
             return false;
         }
-        if let Some(known) = self.remove(host) {
-            self.leaving.insert(host.clone(), (known.member, now_ms));
+        if let Some(peer) = self.remove(host) {
+            self.leaving.insert(host.clone(), (peer.member, now_ms));
         }
-        self.told.hosts = self.told.hosts.saturating_sub(1);
+        self.stated_fleet.hosts = self.stated_fleet.hosts.saturating_sub(1);
         true
     }
 
-    /// Drops hosts that were silent for long; returns them.
+    /// Removes hosts that were silent for too long, and returns them.
     ///
-    /// Nobody is heard while this host itself stands still. To forget them all for that would let
-    /// it spend the fleet's budgets alone.
+    /// Time in which this process was suspended doesn't count, since no message arrived then.
+    /// Removing all hosts for it would let this one spend the fleet's budgets alone.
     pub fn expire(&mut self, now_ms: Millis) -> Vec<HostId> {
-        let still_ms = self.wakefulness.note(now_ms);
-        self.others.values_mut().for_each(|known| known.heard_ms = known.heard_ms + still_ms);
+        let suspended_ms = self.wakefulness.note(now_ms);
+        self.others.values_mut().for_each(|peer| peer.heard_ms = peer.heard_ms + suspended_ms);
         self.leaving.retain(|_, (_, left_ms)| now_ms.since(*left_ms) < LEAVING_MS);
-        if now_ms.since(self.told.at_ms) > FLEET_TOLD_MS {
-            self.told = ToldFleet::default();
+        if now_ms.since(self.stated_fleet.at_ms) > STATED_FLEET_MS {
+            self.stated_fleet = StatedFleet::default();
         }
-        let each_ms = Millis(FORGET_EACH_MS.0.saturating_mul(self.others.len() as u64));
-        let silent_ms = FORGET_MS.max(each_ms);
-        let is_old = |known: &Known| now_ms.since(known.heard_ms) > silent_ms;
-        let old: Vec<HostId> = self
+        let each_ms = Millis(MEMBER_TIMEOUT_PER_HOST_MS.0.saturating_mul(self.others.len() as u64));
+        let silent_ms = MEMBER_TIMEOUT_MS.max(each_ms);
+        let has_expired = |peer: &Peer| now_ms.since(peer.heard_ms) > silent_ms;
+        let expired: Vec<HostId> = self
             .others
             .iter()
-            .filter(|(_, known)| is_old(known))
+            .filter(|(_, peer)| has_expired(peer))
             .map(|(host, _)| host.clone())
             .collect();
-        for host in &old {
+        for host in &expired {
             self.remove(host);
         }
-        old
+        expired
     }
 
-    /// Whether hosts were still being heard of for the first time within `span_ms`.
+    /// Whether a host, or a new run of one, was added within `span_ms`.
     pub fn has_changed_within(&self, now_ms: Millis, span_ms: Millis) -> bool {
         now_ms.since(self.changed_ms) < span_ms
     }
 
-    /// How many hosts are wanted as reader before this one.
+    /// Number of hosts that have a greater weight as reader than this one.
     pub fn reader_rank(&self) -> usize {
-        self.others.values().filter(|known| known.weight > self.own_weight).count()
+        self.others.values().filter(|peer| peer.weight > self.own_weight).count()
     }
 
-    /// How many of those just told what they read.
+    /// Number of those that have read the source recently.
     pub fn active_preferred_readers(&self, now_ms: Millis) -> usize {
-        let reads = |known: &&Known| {
-            known.read_ms.is_some_and(|at_ms| now_ms.since(at_ms) < READER_SILENT_MS)
+        let reads = |peer: &&Peer| {
+            peer.read_ms.is_some_and(|at_ms| now_ms.since(at_ms) < READER_TIMEOUT_MS)
         };
-        self.others.values().filter(reads).filter(|known| known.weight > self.own_weight).count()
+        self.others.values().filter(reads).filter(|peer| peer.weight > self.own_weight).count()
     }
 }
 
