--- a/crates/published/src/members.rs
+++ b/crates/published/src/members.rs
@@ -168,7 +168,7 @@
         self.digest
     }
 
-    /// Records a host, stated by itself or by a peer. Returns true if it or its run is new.
+    /// Records a host, stated by itself or by a peer. Returns false if nothing in that is new.
     pub fn record(&mut self, now_ms: Millis, member: Member) -> bool {
         if member.host == self.own.host {
             return false;
