--- a/crates/published/src/evacuation.rs
+++ b/crates/published/src/evacuation.rs
@@ -1,28 +1,28 @@
-//! Availability zones that operators have evacuated: nothing new is to be sent to upstreams there.
+//! Availability zones that operators have evacuated: their upstreams get no new requests.
 //!
-//! An evacuation is state, not an event. It is part of what is published, so it reaches a host
-//! that was cut off, lost its history or has just started the same way as the routing does, and
-//! is ordered by the same revisions. It ends only when it is taken back; that an upstream's zone
-//! is unknown here says nothing, as its upstreams may be published later.
+//! An evacuation is published state, not an event. It reaches a host that was cut off, lost its
+//! history or has just started in the same way as the routing, ordered by the same revisions, and
+//! ends only when it is withdrawn. A zone without known upstreams may be evacuated, too, since they
+//! may be published later.
 
 use crate::Revision;
 use domain::{FastMap, Millis, ZoneName};
 use serde::{Deserialize, Serialize};
 
-/// The end of an evacuation: the zone may be used again.
+/// The end of an evacuation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuationEnd {
-    /// Which zone.
+    /// The zone.
     pub zone: ZoneName,
     /// The change that ended it.
     pub revision: Revision,
 }
 
-/// The zones that are evacuated, and those that were until a while ago.
+/// The evacuated zones, and recently ended evacuations.
 #[derive(Debug, Clone, Default)]
 pub struct Evacuations {
     in_force: FastMap<ZoneName, Revision>,
-    /// Guards against late news of an evacuation that has ended.
+    /// Rejects messages about an evacuation that arrive after its end.
     ended: FastMap<ZoneName, Ended>,
 }
 
@@ -33,17 +33,17 @@
 }
 
 impl Evacuations {
-    /// Whether nothing new is to be sent to upstreams of a zone.
+    /// Whether a zone is evacuated.
     pub fn contains(&self, zone: &ZoneName) -> bool {
         self.in_force.contains_key(zone)
     }
 
-    /// The zones that are evacuated, and the revisions that say so.
+    /// The evacuated zones, with the revisions of their evacuations.
     pub fn in_force(&self) -> impl Iterator<Item = (&ZoneName, Revision)> {
         self.in_force.iter().map(|(zone, &revision)| (zone, revision))
     }
 
-    /// The ends that are remembered.
+    /// The recently ended evacuations.
     pub(crate) fn ended(&self) -> impl Iterator<Item = EvacuationEnd> {
         let end = |(zone, ended): (&ZoneName, &Ended)| EvacuationEnd {
             zone: zone.clone(),
@@ -52,38 +52,38 @@
         self.ended.iter().map(end)
     }
 
-    /// True if the zone was not evacuated before.
+    /// Records an evacuation. Returns true if the zone was not evacuated before.
     pub(crate) fn begin(&mut self, revision: Revision, zone: ZoneName) -> bool {
         if self.ended.get(&zone).is_some_and(|ended| ended.revision >= revision) {
             return false;
         }
         self.ended.remove(&zone);
-        let held = self.in_force.get(&zone).copied();
-        let newest = held.unwrap_or_default().max(revision);
+        let current = self.in_force.get(&zone).copied();
+        let newest = current.unwrap_or_default().max(revision);
         self.in_force.insert(zone, newest);
-        held.is_none()
+        current.is_none()
     }
 
-    /// True if the zone was evacuated until now.
+    /// Records the end of an evacuation. Returns true if the zone was evacuated before.
     pub(crate) fn end(&mut self, now_ms: Millis, end: EvacuationEnd) -> bool {
         let EvacuationEnd { zone, revision } = end;
-        let held = self.in_force.get(&zone).copied();
-        if held.is_some_and(|held| held > revision) {
+        let current = self.in_force.get(&zone).copied();
+        if current.is_some_and(|current| current > revision) {
             return false;
         }
         let former = self.ended.get(&zone).map(|ended| ended.revision).unwrap_or_default();
         let revision = former.max(revision);
         self.in_force.remove(&zone);
         self.ended.insert(zone, Ended { revision, since_ms: now_ms });
-        held.is_some()
+        current.is_some()
     }
 
-    /// Forgets ends that are older than `age_ms`; the last revision that was forgotten.
+    /// Removes ends that are older than `age_ms`; returns the greatest revision among them.
     pub(crate) fn expire(&mut self, now_ms: Millis, age_ms: Millis) -> Revision {
-        let is_old = |ended: &Ended| now_ms.since(ended.since_ms) >= age_ms;
-        let old = self.ended.values().filter(|ended| is_old(ended));
-        let last = old.map(|ended| ended.revision).max().unwrap_or_default();
-        self.ended.retain(|_, ended| !is_old(ended));
+        let has_expired = |ended: &Ended| now_ms.since(ended.since_ms) >= age_ms;
+        let expired = self.ended.values().filter(|ended| has_expired(ended));
+        let last = expired.map(|ended| ended.revision).max().unwrap_or_default();
+        self.ended.retain(|_, ended| !has_expired(ended));
         last
     }
 }
--- a/crates/published/src/lib.rs
+++ b/crates/published/src/lib.rs
@@ -1,13 +1,13 @@
-//! What the platform publishes, as the product believes it.
+//! The state that the platform publishes, as each host knows it.
 //!
-//! Three things are published: the [`Routing`] that operators write, the availability zones
-//! that they evacuate ([`Evacuations`]), and one [`Upstream`] entry for each instance that
-//! registers itself. One revision orders every change, so what is newer never has to be asked of
-//! anybody. [`PublishedState`] holds what is believed and keeps the rules: nothing older is ever put in
-//! force, nothing that lapsed while the source was away is dropped before it had time to come
-//! back. [`Gossip`] is a host's part in telling the fleet, [`Reader`] its part in reading.
+//! Three things are published at the source: the [`Routing`] that operators write, the availability
+//! zones that they evacuate ([`Evacuations`]), and one [`Upstream`] entry for each instance that
+//! registers itself. One revision orders all changes, so any two versions of a key can be compared
+//! locally. [`PublishedState`] merges what is read and received: an older version never replaces a
+//! newer one, and entries that expired during an outage of the source get time to come back.
+//! [`Gossip`] spreads the state to all hosts, and [`Reader`] decides which host reads the source.
 //!
-//! This crate knows nothing of IO, and time is handed in.
+//! This crate does no IO; the caller passes the time in.
 
 mod change;
 mod evacuation;
