--- a/crates/published/src/patch.rs
+++ b/crates/published/src/patch.rs
@@ -1,19 +1,18 @@
-//! What differs between two routings.
+//! The difference between two routings.
 //!
-//! A routing of thousands of routes is published whole at each change, though a change
-//! touches few. Readers tell peers the difference: on a site of 1,564 routes and 124 hosts
-//! whole routings were 63 MB between zones for a handful of changes, 0.05 of the day.
+//! A routing of thousands of routes is published as a whole for each change, which usually concerns
+//! few of them. Hosts send each other patches instead to save traffic between availability zones.
 
 use crate::{CallerLimits, Revision, Route, Routing, ServiceSettings};
 use domain::{FastMap, Version};
 use serde::{Deserialize, Serialize};
 
-/// How to make a routing of an earlier one.
+/// Turns a routing into a later one.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RoutingPatch {
-    /// Revision of the earlier one.
+    /// Revision of the earlier routing.
     pub base: Revision,
-    /// Version of the later one.
+    /// Version of the later routing.
     pub version: Version,
     limits: CallerLimits,
     services: Vec<ServiceSettings>,
@@ -21,7 +20,7 @@
     written: Vec<Route>,
 }
 
-/// A route's place: its name under its host.
+/// Identifies a route by its host and name.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct RouteKey {
     host: String,
@@ -37,27 +36,27 @@
 impl RoutingPatch {
     /// The difference from `old`, which has the revision `base`, to `new`.
     ///
-    /// None where two routes bear one name: they could not be told apart.
+    /// `None` if two routes of one routing have the same key.
     pub fn between(base: Revision, old: &Routing, new: &Routing) -> Option<RoutingPatch> {
         let before = by_key(old);
         let after = by_key(new);
-        let has_twins = before.len() < old.routes.len() || after.len() < new.routes.len();
-        if has_twins {
+        let has_duplicates = before.len() < old.routes.len() || after.len() < new.routes.len();
+        if has_duplicates {
             return None;
         }
         let removed = before.keys().filter(|key| !after.contains_key(*key)).cloned().collect();
-        let is_other = |route: &&Route| before.get(&RouteKey::of(route)) != Some(route);
+        let is_changed = |route: &&Route| before.get(&RouteKey::of(route)) != Some(route);
         Some(RoutingPatch {
             base,
             version: new.version,
             limits: new.limits,
             services: new.services.clone(),
             removed,
-            written: new.routes.iter().filter(is_other).cloned().collect(),
+            written: new.routes.iter().filter(is_changed).cloned().collect(),
         })
     }
 
-    /// The later routing.
+    /// Applies the patch to the earlier routing.
     pub fn apply(&self, old: &Routing) -> Routing {
         let mut routes = by_key(old);
         for key in &self.removed {
