--- a/crates/published/src/routing.rs
+++ b/crates/published/src/routing.rs
@@ -1,4 +1,4 @@
-//! Routing: which requests go to which services, and under what terms.
+//! Routing: which requests go to which services, and their limits.
 
 use domain::{ByteCount, Connections, FastMap, Millis, PerSecond, ServiceName, Version};
 use serde::{Deserialize, Serialize};
@@ -7,26 +7,26 @@
 /// Everything that operators declare, as one version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Routing {
-    /// Greater after each change.
+    /// Increases with each change.
     pub version: Version,
-    /// What callers may send.
+    /// Limits of callers.
     pub limits: CallerLimits,
     /// All routes of all hosts.
     pub routes: Vec<Route>,
-    /// The services that routes name.
+    /// The services that routes refer to.
     pub services: Vec<ServiceSettings>,
 }
 
-/// Bounds of what a caller may send, and of how long it may take.
+/// Limits of a caller's requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct CallerLimits {
     /// Largest request head.
     pub head_bytes: ByteCount,
     /// Largest request body.
     pub body_bytes: ByteCount,
-    /// Time for a head, from its first byte.
+    /// Time to receive a request head, from its first byte.
     pub head_timeout_ms: Millis,
-    /// Time that a connection may stay without a request.
+    /// Time after which an idle connection is closed.
     pub idle_timeout_ms: Millis,
 }
 
@@ -34,9 +34,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Idempotency {
-    /// It may.
+    /// It may run more than once.
     Idempotent,
-    /// It must not.
+    /// It must not run more than once.
     AtMostOnce,
 }
 
@@ -47,55 +47,54 @@
     pub name: String,
     /// Exact host.
     pub host: String,
-    /// Beginning of the path; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: String,
     /// Whether its requests may run more than once.
     pub idempotency: Idempotency,
-    /// Time within which an answer is of full use.
+    /// Response time up to which a response is in time.
     pub objective_ms: Millis,
-    /// Time after which a caller is not kept waiting any longer.
+    /// Time after which the request fails.
     pub timeout_ms: Millis,
-    /// Most upstreams that one request may be sent to.
+    /// Largest number of upstreams that one request may be sent to.
     pub attempts: u32,
-    /// Rank under overload; 0 is the highest.
+    /// Priority under overload; 0 is the highest.
     pub priority: u32,
-    /// Where its requests go, by weight; never empty.
+    /// Services that get its requests, by weight; never empty.
     pub split: Vec<Destination>,
 }
 
-/// One part of a split.
+/// One part of a traffic split.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Destination {
     /// The service.
     pub service: ServiceName,
-    /// Its share is this over the sum of all.
+    /// Its share is this weight divided by the sum of all weights.
     pub weight: u32,
 }
 
-/// What is declared of a service.
+/// Settings of a service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceSettings {
     /// Its name.
     pub name: ServiceName,
     /// Path of its health check.
     pub health_path: String,
-    /// Connections that each instance accepts from all entry hosts together.
+    /// Connections that each instance accepts from all hosts together.
     pub max_connections: Connections,
-    /// Requests a second that a cold instance bears from all entry hosts together; none if it is
-    /// not stated.
+    /// Requests per second that a cold instance can take from all hosts together, if stated.
     pub cold_rate: Option<PerSecond>,
 }
 
-/// A route, and its place in the table.
+/// A matched route.
 #[derive(Debug, Clone)]
 pub struct MatchedRoute {
     /// The route.
     pub route: Arc<Route>,
-    /// Version of the routing that it belongs to.
+    /// Version of the routing that contains it.
     pub version: Version,
 }
 
-/// A routing prepared for look-ups.
+/// A routing prepared for lookups.
 #[derive(Debug)]
 pub struct RouteTable {
     routing: Arc<Routing>,
@@ -104,7 +103,7 @@
 }
 
 impl RouteTable {
-    /// Sorts the routes of each host, longest prefix first.
+    /// Sorts the routes of each host by length of prefix, the longest first.
     pub fn new(routing: Arc<Routing>) -> RouteTable {
         let mut hosts: FastMap<String, Vec<Arc<Route>>> = FastMap::default();
         for route in &routing.routes {
@@ -119,7 +118,7 @@
         RouteTable { routing, hosts, services }
     }
 
-    /// The route of a request; the longest prefix wins.
+    /// Finds the route of a request; the longest prefix wins.
     pub fn find(&self, host: &str, path: &str) -> Option<MatchedRoute> {
         let host = without_port(host).to_ascii_lowercase();
         let routes = self.hosts.get(&host)?;
@@ -127,12 +126,12 @@
         Some(MatchedRoute { route: Arc::clone(route), version: self.routing.version })
     }
 
-    /// What is declared of a service.
+    /// The settings of a service.
     pub fn service(&self, name: &ServiceName) -> Option<&ServiceSettings> {
         self.services.get(name)
     }
 
-    /// The whole routing.
+    /// The routing that the table was made from.
     pub fn routing(&self) -> &Arc<Routing> {
         &self.routing
     }
