--- a/crates/published/src/change.rs
+++ b/crates/published/src/change.rs
@@ -1,4 +1,4 @@
-//! What is published, as values and as changes, in one order.
+//! Published values, their changes and snapshots.
 
 use crate::{EvacuationEnd, Routing, RoutingPatch, Upstream};
 use domain::{UpstreamId, ZoneName};
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Place of a change in the order of all changes.
+/// Position of a change in the order of all changes.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -22,7 +22,7 @@
 /// A value and the revision that wrote it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry<T> {
-    /// Its last change.
+    /// Revision of its last change.
     pub revision: Revision,
     /// The value.
     pub value: T,
@@ -36,29 +36,29 @@
     Routing(Arc<Routing>),
     /// An upstream's entry.
     Upstream(Arc<Upstream>),
-    /// Nothing new is to be sent to the upstreams of this zone.
+    /// An evacuated zone, whose upstreams get no new requests.
     Evacuation(ZoneName),
 }
 
-/// The end of an upstream's entry.
+/// The removal of an upstream's entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Removal {
-    /// Whose entry.
+    /// The upstream.
     pub upstream: UpstreamId,
-    /// The change that removed it.
+    /// The revision that removed it.
     pub revision: Revision,
-    /// How it ended.
+    /// The cause.
     pub cause: RemovalCause,
 }
 
-/// How an upstream's entry ended.
+/// Why an upstream's entry was removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RemovalCause {
     /// It is no longer published: the upstream left, or could not renew it in time.
     Deleted,
-    /// Something was written in its place that names no upstream. The upstream is not coming
-    /// back by itself, so nobody waits for it.
+    /// It was overwritten by a value that is no valid upstream. It won't be renewed, so its removal
+    /// takes effect at once even after an outage.
     Overwritten,
 }
 
@@ -68,21 +68,21 @@
 pub enum Change {
     /// A value was written.
     Written(Entry<Item>),
-    /// The routing was written, told as the difference from the one before.
+    /// The routing was written; this is the patch of the one before.
     Patched(Entry<RoutingPatch>),
     /// An entry was removed.
     Removed(Removal),
-    /// An evacuation was taken back.
+    /// An evacuation was withdrawn.
     EvacuationEnded(EvacuationEnd),
 }
 
-/// Everything that is published, as of a revision.
+/// Everything that is published as of a revision.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// No change up to here is missing.
+    /// The revision up to which no change is missing.
     pub revision: Revision,
     /// All values.
     pub items: Vec<Entry<Item>>,
-    /// Entries that were overwritten with something that names no upstream.
+    /// Entries that were overwritten by a value that is no valid upstream.
     pub overwritten: Vec<Removal>,
 }
--- a/crates/published/src/state_change.rs
+++ b/crates/published/src/state_change.rs
@@ -1,10 +1,10 @@
-//! Changes of what is believed, for logs.
+//! Changes of the published state that are logged.
 
 use crate::{RemovalCause, Revision, RunStart};
 use domain::{Millis, UpstreamId, Version, ZoneName};
 use serde::Serialize;
 
-/// A change of what is believed, for logs.
+/// A change of the published state, for logs.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(tag = "belief", rename_all = "kebab-case")]
 pub enum StateChange {
@@ -15,73 +15,74 @@
         /// Its revision.
         revision: Revision,
     },
-    /// A routing with a smaller version came under a greater revision, and was not taken.
+    /// A routing with a smaller version than the one in force was rejected, despite its greater
+    /// revision.
     RoutingRefused {
         /// Its version.
         version: Version,
-        /// What is in force.
+        /// The version in force.
         in_force: Version,
     },
-    /// Nothing new is sent to the upstreams of a zone.
+    /// A zone was evacuated: its upstreams get no new requests.
     ZoneEvacuated {
-        /// Which zone.
+        /// The zone.
         zone: ZoneName,
         /// Its revision.
         revision: Revision,
     },
-    /// An evacuation was taken back.
+    /// An evacuation was withdrawn.
     ZoneRestored {
-        /// Which zone.
+        /// The zone.
         zone: ZoneName,
         /// The revision that ended it.
         revision: Revision,
     },
-    /// An upstream takes work.
+    /// An upstream accepts requests.
     UpstreamJoined {
         /// Its id.
         upstream: UpstreamId,
         /// Its revision.
         revision: Revision,
     },
-    /// An upstream says that it is leaving.
+    /// An upstream announced that it is leaving.
     UpstreamLeaving {
         /// Its id.
         upstream: UpstreamId,
         /// Its revision.
         revision: Revision,
     },
-    /// An upstream's entry lapsed while the source was away; it is kept for a while.
+    /// An upstream's entry expired during an outage of the source; it is kept for a grace period.
     UpstreamLapsed {
         /// Its id.
         upstream: UpstreamId,
-        /// When it is gone unless it came back.
+        /// End of the grace period.
         until_ms: Millis,
     },
-    /// An upstream's entry that had lapsed was written anew.
+    /// An upstream whose entry had expired registered again.
     UpstreamReturned {
         /// Its id.
         upstream: UpstreamId,
         /// Its revision.
         revision: Revision,
     },
-    /// An upstream started again under its id: what was known of it is dropped.
+    /// An upstream restarted under its id: what was known of the former run is dropped.
     UpstreamRestarted {
         /// Its id.
         upstream: UpstreamId,
-        /// The revision that tells of it.
+        /// The revision of the new run's entry.
         revision: Revision,
-        /// Start of the run that is over.
+        /// Start of the former run.
         former_start_ms: RunStart,
-        /// Start of the run that goes on.
+        /// Start of the new run.
         start_ms: RunStart,
     },
-    /// An upstream's entry is gone.
+    /// An upstream's entry was removed.
     UpstreamGone {
         /// Its id.
         upstream: UpstreamId,
         /// The revision that removed it.
         revision: Revision,
-        /// How it ended.
+        /// The cause.
         cause: RemovalCause,
     },
 }
