--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -148,7 +148,8 @@
     let (replies, mut received) = mpsc::unbounded_channel();
     host.placement.pending.borrow_mut().insert(ticket, replies);
     let guard = PlacementGuard::new(host, ticket, &scheduler);
-    let lends_rate_share = host.rate_limiter.borrow_mut().lend(host.now_ms(), &cell, &scheduler.host);
+    let lends_rate_share =
+        host.rate_limiter.borrow_mut().lend(host.now_ms(), &cell, &scheduler.host);
     let submission = Submission { lends_rate_share, ..submission(ticket, cell.clone()) };
     guard.send(PlacementMessage::Submit(submission));
     let mut longest = FIRST_REPLY;
--- a/crates/gateway/src/probe/health_check.rs
+++ b/crates/gateway/src/probe/health_check.rs
@@ -71,7 +71,9 @@
 ) -> bool {
     let (upstreams, fleet) = (host.upstreams.borrow(), host.fleet_size());
     let (budget, sharing) = match budget {
-        ProbeBudgetKind::Own => (&host.probe_budget, upstreams.probing_hosts(service, upstream, fleet)),
+        ProbeBudgetKind::Own => {
+            (&host.probe_budget, upstreams.probing_hosts(service, upstream, fleet))
+        }
         ProbeBudgetKind::LocalZone => {
             (&host.zone_probe_budget, upstreams.probing_hosts_in_zone(service, fleet))
         }
--- a/crates/gateway/tests/serving.rs
+++ b/crates/gateway/tests/serving.rs
@@ -441,7 +441,8 @@
         let host = gateway.host();
         for upstream in &upstreams {
             let (id, now_ms) = (upstream.id().parse().unwrap(), host.now_ms());
-            for purse in [&host.probe_budget, &host.zone_probe_budget, &host.placement.probe_budget] {
+            for purse in [&host.probe_budget, &host.zone_probe_budget, &host.placement.probe_budget]
+            {
                 assert!(purse.borrow_mut().try_spend(now_ms, &id, 1.0));
             }
         }
