--- a/crates/dispatch/src/scheduler/set.rs
+++ b/crates/dispatch/src/scheduler/set.rs
@@ -1,101 +1,101 @@
-//! All that a host schedules.
+//! All schedulers of a host.
 
-use super::job::{Job, Key};
-use super::message::{Asker, Effect, PlacementMessage, RefusalCause, Withdrawal};
-use super::rate_placing::RatePlacing;
+use super::message::{Effect, PlacementMessage, RefusalCause, Requester, Withdrawal};
+use super::placement_rates::PlacementRates;
+use super::request::{Key, QueuedRequest};
 use super::{Cell, Scheduler};
-use crate::subset::FleetShape;
+use crate::subset::FleetSize;
 use crate::upstream_set::UpstreamSet;
 use domain::{FastMap, HostId, Millis};
 use rand_pcg::Pcg64Mcg;
 
-/// How often requests that wait are looked at, besides when something is learned.
-const TURN_MS: Millis = Millis(4);
+/// Interval at which waiting requests are re-evaluated when no new information arrives.
+const SCHEDULE_INTERVAL_MS: Millis = Millis(4);
 
-/// The schedulers of a host, by cell; they come with the first request and go with the last.
+/// The schedulers of a host by cell, created with a cell's first request and dropped once idle.
 #[derive(Debug)]
 pub struct SchedulerSet {
     schedulers: FastMap<Cell, Scheduler>,
-    rates: RatePlacing,
-    is_leaving: bool,
+    rates: PlacementRates,
+    is_closed: bool,
 }
 
 impl SchedulerSet {
-    /// Nothing is scheduled yet by this host.
+    /// No schedulers yet.
     pub fn new(host: HostId) -> SchedulerSet {
         SchedulerSet {
             schedulers: FastMap::default(),
-            rates: RatePlacing::new(host),
-            is_leaving: false,
+            rates: PlacementRates::new(host),
+            is_closed: false,
         }
     }
 
-    /// Takes how many hosts there are: each has an equal share of what the fleet may send.
-    pub fn set_fleet(&mut self, fleet: FleetShape) {
+    /// Sets the number of hosts; each owns an equal share of fleet-wide rate limits.
+    pub fn set_fleet(&mut self, fleet: FleetSize) {
         self.rates.set_fleet(fleet);
     }
 
-    /// Takes for which cells this host is the first in order.
-    pub fn set_first(&mut self, is_first: impl Fn(&Cell) -> bool) {
+    /// Sets for which cells this host is the primary scheduler.
+    pub fn set_primary(&mut self, is_primary: impl Fn(&Cell) -> bool) {
         for (cell, scheduler) in &mut self.schedulers {
-            scheduler.is_first = Some(is_first(cell));
+            scheduler.is_primary = Some(is_primary(cell));
         }
     }
 
-    /// Whether for some cell nobody has looked yet whether this host is the first in order.
-    pub fn has_unordered(&self) -> bool {
-        self.schedulers.values().any(|scheduler| scheduler.is_first.is_none())
+    /// Whether `set_primary` is still due for some cell.
+    pub fn has_unknown_primary(&self) -> bool {
+        self.schedulers.values().any(|scheduler| scheduler.is_primary.is_none())
     }
 
-    /// From now on nothing new is taken.
-    pub fn leave(&mut self) {
-        self.is_leaving = true;
+    /// Refuses all submissions from now on.
+    pub fn stop_accepting(&mut self) {
+        self.is_closed = true;
     }
 
-    /// Takes a host's message.
-    pub fn take(
+    /// Handles a message from a host.
+    pub fn handle_message(
         &mut self,
         now_ms: Millis,
         message: PlacementMessage,
-        asker: Asker,
+        requester: Requester,
         upstreams: &mut UpstreamSet,
         rng: &mut Pcg64Mcg,
     ) -> Vec<Effect> {
         let mut effects = Vec::new();
         let scheduler = match message {
-            PlacementMessage::Submit(submission) if self.is_leaving => {
+            PlacementMessage::Submit(submission) if self.is_closed => {
                 let (ticket, cause) = (submission.ticket, RefusalCause::NoUpstream);
                 let message = PlacementMessage::Refused { ticket, cause };
-                return vec![Effect::Tell { to: asker, message }];
+                return vec![Effect::Send { to: requester, message }];
             }
             PlacementMessage::Submit(submission) => {
                 let cell = &submission.cell;
                 let new = || Scheduler::new(cell.clone());
                 let scheduler = self.schedulers.entry(cell.clone()).or_insert_with(new);
-                if submission.lends {
-                    self.rates.note_lent(now_ms, cell, asker);
+                if submission.lends_rate_share {
+                    self.rates.record_lent_share(now_ms, cell, requester);
                 }
-                let job = Job::new(now_ms, submission, asker);
-                if !scheduler.knows(job.key) {
-                    effects.extend(scheduler.submit(job));
+                let request = QueuedRequest::new(now_ms, submission, requester);
+                if !scheduler.contains(request.key) {
+                    effects.extend(scheduler.submit(request));
                 }
                 Some(scheduler)
             }
             PlacementMessage::Ended { ticket, outcome } => {
-                let key = Key { asker, ticket };
-                let mut scheduler = that_knows(&mut self.schedulers, key);
+                let key = Key { requester, ticket };
+                let mut scheduler = scheduler_of(&mut self.schedulers, key);
                 if let Some(scheduler) = &mut scheduler {
                     scheduler.end(now_ms, key, &outcome, upstreams);
                 }
                 scheduler
             }
-            PlacementMessage::Withdrawn { ticket, how } => {
-                let key = Key { asker, ticket };
-                let mut scheduler = that_knows(&mut self.schedulers, key);
+            PlacementMessage::Withdrawn { ticket, withdrawal } => {
+                let key = Key { requester, ticket };
+                let mut scheduler = scheduler_of(&mut self.schedulers, key);
                 if let Some(scheduler) = &mut scheduler {
-                    let upstream = scheduler.withdraw(now_ms, key, how, upstreams);
-                    if let Some(upstream) = upstream.filter(|_| how != Withdrawal::Sent) {
-                        self.rates.budget.give_back(&upstream);
+                    let upstream = scheduler.withdraw(now_ms, key, withdrawal, upstreams);
+                    if let Some(upstream) = upstream.filter(|_| withdrawal != Withdrawal::Sent) {
+                        self.rates.budget.refund(&upstream);
                     }
                 }
                 scheduler
@@ -105,13 +105,13 @@
             | PlacementMessage::Refused { .. } => None,
         };
         if let Some(scheduler) = scheduler {
-            scheduler.turn(now_ms, upstreams, &mut self.rates, rng, &mut effects);
+            scheduler.schedule(now_ms, upstreams, &mut self.rates, rng, &mut effects);
         }
         effects
     }
 
-    /// Something was learned of upstreams, or time has passed.
-    pub fn turn(
+    /// Re-evaluates all waiting requests, after new information on upstreams or as time passes.
+    pub fn schedule(
         &mut self,
         now_ms: Millis,
         upstreams: &mut UpstreamSet,
@@ -119,25 +119,25 @@
     ) -> Vec<Effect> {
         let mut effects = Vec::new();
         for scheduler in self.schedulers.values_mut() {
-            scheduler.turn(now_ms, upstreams, &mut self.rates, rng, &mut effects);
+            scheduler.schedule(now_ms, upstreams, &mut self.rates, rng, &mut effects);
         }
-        self.rates.forget(now_ms, upstreams);
+        self.rates.expire(now_ms, upstreams);
         self.schedulers.retain(|_, scheduler| !scheduler.is_idle());
         effects
     }
 
-    /// When to look again; none while nothing waits.
-    pub fn next_turn_ms(&self, now_ms: Millis) -> Option<Millis> {
-        let waits = |scheduler: &Scheduler| !scheduler.waiting.is_empty();
-        self.schedulers.values().any(waits).then_some(now_ms + TURN_MS)
+    /// When to call `schedule` again; `None` while nothing waits.
+    pub fn next_schedule_ms(&self, now_ms: Millis) -> Option<Millis> {
+        let has_waiting = |scheduler: &Scheduler| !scheduler.waiting.is_empty();
+        self.schedulers.values().any(has_waiting).then_some(now_ms + SCHEDULE_INTERVAL_MS)
     }
 
-    /// Requests that wait for a place.
-    pub fn waiting(&self) -> usize {
+    /// Number of waiting requests.
+    pub fn waiting_count(&self) -> usize {
         self.schedulers.values().map(|scheduler| scheduler.waiting.len()).sum()
     }
 }
 
-fn that_knows(schedulers: &mut FastMap<Cell, Scheduler>, key: Key) -> Option<&mut Scheduler> {
-    schedulers.values_mut().find(|scheduler| scheduler.knows(key))
+fn scheduler_of(schedulers: &mut FastMap<Cell, Scheduler>, key: Key) -> Option<&mut Scheduler> {
+    schedulers.values_mut().find(|scheduler| scheduler.contains(key))
 }
--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -4,9 +4,9 @@
 mod support;
 
 use dispatch::scheduler::{
-    Asker, Cell, Effect, PlacementMessage, RefusalCause, SchedulerSet, Submission,
+    Cell, Effect, PlacementMessage, RefusalCause, Requester, SchedulerSet, Submission,
 };
-use dispatch::{Reach, UpstreamSet};
+use dispatch::{UpstreamSet, ZoneScope};
 use domain::{Millis, ServiceName, ZoneName};
 use published::{Change, Entry, Evacuations, Item, PublishedState, Revision, RunStart, Upstream};
 use rand::SeedableRng;
@@ -60,8 +60,9 @@
 fn nobody_is_asked_there(#[case] each: usize) {
     let set = set_of(&site(each), &["kariakoo"]);
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    for reach in [Reach::Near, Reach::Far] {
-        let asked = set.to_ask(NOW, &service(), &[], (100, reach), |_| false, &mut rng);
+    for reach in [ZoneScope::Local, ZoneScope::Other] {
+        let asked =
+            set.choose_probe_targets(NOW, &service(), &[], (100, reach), |_| false, &mut rng);
         assert_eq!(asked.len(), 2 * each);
         assert!(asked.iter().all(|id| !id.as_str().contains("kariakoo")), "{asked:?}");
     }
@@ -78,7 +79,7 @@
 ) {
     let set = set_of(&site(12), evacuated);
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    let cell = Cell::of(&service(), &zone("kariakoo"), &set, &mut rng);
+    let cell = Cell::for_request(&service(), &zone("kariakoo"), &set, &mut rng);
     assert_eq!(cell.zone, wanted.map(zone));
 }
 
@@ -90,7 +91,7 @@
     let set = set_of(&entries, &["kariakoo"]);
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let drawn = (0..1_000).filter(|_| {
-        let cell = Cell::of(&service(), &zone("kariakoo"), &set, &mut rng);
+        let cell = Cell::for_request(&service(), &zone("kariakoo"), &set, &mut rng);
         cell.zone == Some(zone("temeke"))
     });
     assert!((700..800).contains(&drawn.count()));
@@ -105,22 +106,22 @@
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut schedulers = SchedulerSet::new("front-1".parse().unwrap());
     for name in ["i-1", "i-2"] {
-        set.note_report(NOW, (&id(name), RunStart::default()), report(6, 6, 100));
+        set.record_report(NOW, (&id(name), RunStart::default()), report(6, 6, 100));
     }
-    let asker = Asker::Own;
-    let effects = schedulers.take(NOW, submit(1, &cell), asker, &mut set, &mut rng);
+    let requester = Requester::OwnHost;
+    let effects = schedulers.handle_message(NOW, submit(1, &cell), requester, &mut set, &mut rng);
     assert!(placed(&effects).is_empty(), "{effects:?}");
     set.sync(NOW, entries.iter(), &evacuations(&["kariakoo"]));
-    set.note_report(NOW, (&id("i-1"), RunStart::default()), report(0, 0, 100));
-    assert!(placed(&schedulers.turn(NOW, &mut set, &mut rng)).is_empty());
-    set.note_report(NOW, (&id("i-2"), RunStart::default()), report(0, 0, 100));
-    assert_eq!(placed(&schedulers.turn(NOW, &mut set, &mut rng)), ["i-2"]);
+    set.record_report(NOW, (&id("i-1"), RunStart::default()), report(0, 0, 100));
+    assert!(placed(&schedulers.schedule(NOW, &mut set, &mut rng)).is_empty());
+    set.record_report(NOW, (&id("i-2"), RunStart::default()), report(0, 0, 100));
+    assert_eq!(placed(&schedulers.schedule(NOW, &mut set, &mut rng)), ["i-2"]);
 }
 
 fn placed(effects: &[Effect]) -> Vec<String> {
     let of = |effect: &Effect| match effect {
-        Effect::Tell { message: PlacementMessage::Placed { place, .. }, .. } => {
-            Some(place.upstream.to_string())
+        Effect::Send { message: PlacementMessage::Placed { placement, .. }, .. } => {
+            Some(placement.upstream.to_string())
         }
         _ => None,
     };
@@ -134,10 +135,11 @@
     let cell = Cell { service: service(), zone: None };
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut schedulers = SchedulerSet::new("front-1".parse().unwrap());
-    let effects = schedulers.take(NOW, submit(1, &cell), Asker::Own, &mut set, &mut rng);
+    let effects =
+        schedulers.handle_message(NOW, submit(1, &cell), Requester::OwnHost, &mut set, &mut rng);
     let is_refused = |effect: &Effect| {
         let no_upstream = RefusalCause::NoUpstream;
-        matches!(effect, Effect::Tell { message: PlacementMessage::Refused { cause, .. }, .. }
+        matches!(effect, Effect::Send { message: PlacementMessage::Refused { cause, .. }, .. }
             if *cause == no_upstream)
     };
     assert!(effects.iter().any(is_refused), "{effects:?}");
--- a/crates/dispatch/tests/scheduler.rs
+++ b/crates/dispatch/tests/scheduler.rs
@@ -5,10 +5,10 @@
 
 use dispatch::backpressure::Backpressure;
 use dispatch::scheduler::{
-    Asker, Cell, Effect, Outcome, PlacementMessage, RefusalCause, SchedulerSet, Submission, Ticket,
-    Withdrawal,
+    Cell, Effect, Outcome, PlacementMessage, RefusalCause, Requester, SchedulerSet, Submission,
+    Ticket, Withdrawal,
 };
-use dispatch::{AskFailure, LoadReport, SendFailure, UpstreamSet};
+use dispatch::{AttemptFailure, LoadReport, ProbeFailure, UpstreamSet};
 use domain::{Millis, UpstreamId};
 use published::{Entry, Evacuations, Revision, RunStart};
 use rand::SeedableRng;
@@ -50,17 +50,23 @@
     }
 
     fn tell(&mut self, upstream: &str, told: LoadReport) -> Vec<Effect> {
-        self.upstreams.note_report(self.now_ms, (&id(upstream), RunStart::default()), told);
+        self.upstreams.record_report(self.now_ms, (&id(upstream), RunStart::default()), told);
         self.turn()
     }
 
     fn turn(&mut self) -> Vec<Effect> {
-        self.schedulers.turn(self.now_ms, &mut self.upstreams, &mut self.rng)
+        self.schedulers.schedule(self.now_ms, &mut self.upstreams, &mut self.rng)
     }
 
     fn take(&mut self, message: PlacementMessage) -> Vec<Effect> {
-        let asker = Asker::Peer("127.0.0.1:7000".parse().unwrap());
-        self.schedulers.take(self.now_ms, message, asker, &mut self.upstreams, &mut self.rng)
+        let requester = Requester::Peer("127.0.0.1:7000".parse().unwrap());
+        self.schedulers.handle_message(
+            self.now_ms,
+            message,
+            requester,
+            &mut self.upstreams,
+            &mut self.rng,
+        )
     }
 
     fn submission(&mut self, tried: &[&str]) -> Submission {
@@ -75,7 +81,12 @@
         (ticket, self.take(PlacementMessage::Submit(submission)))
     }
 
-    fn end(&mut self, ticket: Ticket, failure: Option<SendFailure>, took_ms: u64) -> Vec<Effect> {
+    fn end(
+        &mut self,
+        ticket: Ticket,
+        failure: Option<AttemptFailure>,
+        took_ms: u64,
+    ) -> Vec<Effect> {
         let outcome = Outcome {
             failure,
             took_ms: Millis(took_ms),
@@ -107,12 +118,12 @@
 
 fn fate(effects: &[Effect], wanted: Ticket) -> Fate {
     let of = |effect: &Effect| match effect {
-        Effect::Tell { message: PlacementMessage::Placed { ticket, place }, .. }
+        Effect::Send { message: PlacementMessage::Placed { ticket, placement }, .. }
             if *ticket == wanted =>
         {
-            Some(Fate::Placed(place.upstream.clone()))
+            Some(Fate::Placed(placement.upstream.clone()))
         }
-        Effect::Tell { message: PlacementMessage::Refused { ticket, cause }, .. }
+        Effect::Send { message: PlacementMessage::Refused { ticket, cause }, .. }
             if *ticket == wanted =>
         {
             Some(Fate::Refused(*cause))
@@ -124,8 +135,8 @@
 
 fn asked(effects: &[Effect]) -> Vec<String> {
     let of = |effect: &Effect| match effect {
-        Effect::Ask(upstream) => Some(upstream.to_string()),
-        Effect::Tell { .. } => None,
+        Effect::Probe(upstream) => Some(upstream.to_string()),
+        Effect::Send { .. } => None,
     };
     let mut asked: Vec<String> = effects.iter().filter_map(of).collect();
     asked.sort();
@@ -212,12 +223,12 @@
         let tickets: Vec<Ticket> = (0..7).map(|_| play.submit().0).collect();
         play.wait(7);
         play.turn();
-        let open = play.upstreams.get(&id("i-1")).unwrap().open();
+        let open = play.upstreams.get(&id("i-1")).unwrap().in_flight();
         most = open;
         play.wait(93);
         for ticket in tickets {
             play.take(PlacementMessage::Ended { ticket, outcome: outcome(100) });
-            play.take(PlacementMessage::Withdrawn { ticket, how: Withdrawal::Sent });
+            play.take(PlacementMessage::Withdrawn { ticket, withdrawal: Withdrawal::Sent });
         }
     }
     assert_eq!(most, 6);
@@ -317,7 +328,7 @@
 #[case::out_of_reach(|play: &mut Play| {
     let now_ms = play.now_ms;
     let known = play.upstreams.get_mut(&id("i-1")).unwrap();
-    known.note_ask_failed(now_ms, AskFailure::Unreachable);
+    known.record_probe_failure(now_ms, ProbeFailure::Unreachable);
 })]
 fn an_idle_upstream_that_is_no_good_draws_nothing_while_others_are_full(
     #[case] spoil: fn(&mut Play),
@@ -339,8 +350,8 @@
     for _ in 0..6 {
         let now_ms = play.now_ms;
         let known = play.upstreams.get_mut(&id(upstream)).unwrap();
-        known.note_sent(Millis::ZERO);
-        known.note_ended(now_ms, Some(SendFailure::ErrorAnswer));
+        known.record_sent(Millis::ZERO);
+        known.record_ended(now_ms, Some(AttemptFailure::ErrorResponse));
     }
 }
 
@@ -361,9 +372,9 @@
     let mut play = Play::new(&["i-1"]);
     play.tell("i-1", report(0, 0, 100));
     let (ticket, _) = play.submit();
-    assert_eq!(play.upstreams.get(&id("i-1")).unwrap().open(), 1);
-    play.take(PlacementMessage::Withdrawn { ticket, how: Withdrawal::Sent });
-    assert_eq!(play.upstreams.get(&id("i-1")).unwrap().open(), 0);
+    assert_eq!(play.upstreams.get(&id("i-1")).unwrap().in_flight(), 1);
+    play.take(PlacementMessage::Withdrawn { ticket, withdrawal: Withdrawal::Sent });
+    assert_eq!(play.upstreams.get(&id("i-1")).unwrap().in_flight(), 0);
 }
 
 #[test]
@@ -375,11 +386,11 @@
     for _ in 0..2 {
         play.take(PlacementMessage::Submit(submission.clone()));
     }
-    assert_eq!(play.upstreams.get(&id("i-1")).unwrap().open(), 1);
+    assert_eq!(play.upstreams.get(&id("i-1")).unwrap().in_flight(), 1);
     for _ in 0..2 {
         play.end(ticket, None, 100);
     }
-    assert_eq!(play.upstreams.get(&id("i-1")).unwrap().open(), 0);
+    assert_eq!(play.upstreams.get(&id("i-1")).unwrap().in_flight(), 0);
 }
 
 #[test]
@@ -389,14 +400,14 @@
     play.submit();
     play.wait(1_400);
     play.turn();
-    assert_eq!(play.upstreams.get(&id("i-1")).unwrap().open(), 0);
+    assert_eq!(play.upstreams.get(&id("i-1")).unwrap().in_flight(), 0);
 }
 
 #[test]
 fn a_host_that_leaves_takes_no_more() {
     let mut play = Play::new(&["i-1"]);
     play.tell("i-1", report(0, 0, 100));
-    play.schedulers.leave();
+    play.schedulers.stop_accepting();
     let (ticket, effects) = play.submit();
     assert_eq!(fate(&effects, ticket), Fate::Refused(RefusalCause::NoUpstream));
 }
@@ -413,7 +424,7 @@
     for _ in 0..10 {
         play.wait(4);
         let is_word = |effect: &&Effect| {
-            matches!(effect, Effect::Tell { message: PlacementMessage::Queued { .. }, .. })
+            matches!(effect, Effect::Send { message: PlacementMessage::Queued { .. }, .. })
         };
         words += play.turn().iter().filter(is_word).count();
     }
@@ -461,7 +472,7 @@
         }
         let (ticket, effects) = submit(&mut play);
         assert!(matches!(fate(&effects, ticket), Fate::Placed(_)), "{effects:?}");
-        play.take(PlacementMessage::Withdrawn { ticket, how: Withdrawal::Unreachable });
+        play.take(PlacementMessage::Withdrawn { ticket, withdrawal: Withdrawal::Unreachable });
     }
     let (ticket, effects) = submit(&mut play);
     let refused = fate(&effects, ticket) == Fate::Refused(RefusalCause::NoUpstream);
--- a/crates/dispatch/tests/support/rate_site.rs
+++ b/crates/dispatch/tests/support/rate_site.rs
@@ -5,13 +5,13 @@
 mod saying;
 
 use super::submission;
-use dispatch::backpressure::ToldBackpressure;
+use dispatch::backpressure::BackpressureUpdate;
 use dispatch::scheduler::{
-    Asker, Cell, Directory, Effect, Outcome, PlacementMessage, Submission, Ticket, Withdrawal,
+    Cell, Directory, Effect, Outcome, PlacementMessage, Requester, Submission, Ticket, Withdrawal,
 };
-use dispatch::{LoadReport, Reach, SendFailure};
+use dispatch::{AttemptFailure, LoadReport, ZoneScope};
 use domain::{FastMap, FastSet, Millis, ServiceName, Slots, UpstreamId, ZoneName};
-use host::{Host, asker, cold, known_fleet};
+use host::{Host, cold, known_fleet, requester};
 use published::{Member, RunStart};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -92,8 +92,8 @@
     Asked { by: usize, run: u64, upstream: UpstreamId },
     Unheard { host: usize, ticket: u64 },
     Done { upstream: UpstreamId, host: usize, placed: Option<(usize, Ticket)> },
-    Told { to: usize, told: Vec<ToldBackpressure> },
-    TellAgain { host: usize, told: Vec<ToldBackpressure>, age_ms: Millis },
+    Told { to: usize, told: Vec<BackpressureUpdate> },
+    TellAgain { host: usize, told: Vec<BackpressureUpdate>, age_ms: Millis },
     AskPeer { host: usize },
 }
 
@@ -261,15 +261,15 @@
             return self.send_alone(host);
         };
         let scheduler = self.hosts[to].member.host.clone();
-        let lends = self.hosts[host].sender.lend(now_ms, &self.cell, &scheduler);
+        let lends_rate_share = self.hosts[host].sender.lend(now_ms, &self.cell, &scheduler);
         self.open.insert((host, ticket), to);
         let submission = Submission {
             cell: self.cell.clone(),
             zone: zone(0),
             objective_ms: Millis(1_500),
             left_ms: Millis(2_000),
-            backing_off: self.hosts[host].upstreams.backing_off(now_ms, &service()),
-            lends,
+            backing_off: self.hosts[host].upstreams.upstreams_in_backoff(now_ms, &service()),
+            lends_rate_share,
             ..submission(ticket)
         };
         let message = PlacementMessage::Submit(submission);
@@ -283,12 +283,13 @@
         let now_ms = Millis(self.now_ms);
         let hosts = known_fleet(&self.site, now_ms).hosts;
         let Host { upstreams, rng, sender, .. } = &mut self.hosts[host];
-        let held_back = sender.held_back(now_ms, upstreams, &service(), hosts);
-        let part = (3, Reach::Near);
-        let asked = upstreams.to_ask(now_ms, &service(), &held_back, part, |_| false, rng);
+        let held_back = sender.blocked_upstreams(now_ms, upstreams, &service(), hosts);
+        let part = (3, ZoneScope::Local);
+        let asked =
+            upstreams.choose_probe_targets(now_ms, &service(), &held_back, part, |_| false, rng);
         let running = |id: &UpstreamId| self.running.get(id).copied().unwrap_or_default();
         let Some(chosen) = asked.into_iter().find(|id| running(id) < SLOTS) else { return };
-        sender.note_sent(now_ms, upstreams, &chosen, hosts);
+        sender.record_sent(now_ms, upstreams, &chosen, hosts);
         self.reach(&chosen, host, None);
     }
 
@@ -311,9 +312,9 @@
         let now_ms = Millis(self.now_ms);
         match event {
             Event::Scheduler { to, from, message } if self.is_up(to) => {
-                let asker = asker(to, from);
+                let requester = requester(to, from);
                 let Host { schedulers, upstreams, rng, .. } = &mut self.hosts[to];
-                let effects = schedulers.take(now_ms, message, asker, upstreams, rng);
+                let effects = schedulers.handle_message(now_ms, message, requester, upstreams, rng);
                 self.carry_out(to, effects);
             }
             Event::Host { to, message } if self.is_up(to) => self.hear(to, message),
@@ -327,9 +328,9 @@
                 };
                 let told = (&upstream, RunStart::default());
                 let left_ms = (Millis(self.site.length_ms) + AFTER_MS).since(now_ms);
-                self.hosts[by].upstreams.note_report(now_ms, told, report);
+                self.hosts[by].upstreams.record_report(now_ms, told, report);
                 if self.site.reason == Reason::Cold {
-                    self.hosts[by].upstreams.note_cold(now_ms, told, Some(left_ms));
+                    self.hosts[by].upstreams.record_warmup_left(now_ms, told, Some(left_ms));
                 }
             }
             // What a host that was killed waited for is over.
@@ -339,14 +340,14 @@
                 }
                 let Some(to) = self.open.remove(&(host, ticket)) else { return };
                 let silent = self.hosts[to].member.host.clone();
-                self.hosts[host].directory.note_silent(now_ms, &silent);
+                self.hosts[host].directory.record_timeout(now_ms, &silent);
                 self.withdraw(host, to, Ticket(ticket));
                 self.send_alone(host);
             }
             Event::Done { upstream, host, placed } => {
                 *self.running.entry(upstream.clone()).or_default() -= 1;
                 let backpressure = self.said(&upstream);
-                let failure = self.refuses(&upstream).then_some(SendFailure::Shed);
+                let failure = self.refuses(&upstream).then_some(AttemptFailure::Shed);
                 let took_ms =
                     Millis(if failure.is_some() { REFUSED_MS } else { self.site.work_ms });
                 let outcome = Outcome { failure, took_ms, report: None, backpressure };
@@ -358,10 +359,10 @@
                 }
             }
             Event::Told { to, told } if self.is_up(to) => {
-                self.hosts[to].upstreams.take_backpressure(now_ms, told);
+                self.hosts[to].upstreams.merge_backpressure(now_ms, told);
             }
             Event::TellAgain { host, told, age_ms } if self.is_up(host) => {
-                let later = |told: ToldBackpressure| ToldBackpressure {
+                let later = |told: BackpressureUpdate| BackpressureUpdate {
                     age_ms: told.age_ms + age_ms,
                     ..told
                 };
@@ -371,7 +372,7 @@
             Event::AskPeer { host } if self.is_up(host) => {
                 for next in 1..=ASKED_PEERS {
                     let peer = (host + next) % self.hosts.len();
-                    let told = self.hosts[peer].upstreams.backpressure().tell(now_ms);
+                    let told = self.hosts[peer].upstreams.backpressure().export(now_ms);
                     self.push(2 * WAY_MS, Event::Told { to: host, told });
                 }
             }
@@ -386,20 +387,20 @@
     }
 
     fn withdraw(&mut self, host: usize, to: usize, ticket: Ticket) {
-        let message = PlacementMessage::Withdrawn { ticket, how: Withdrawal::NotSent };
+        let message = PlacementMessage::Withdrawn { ticket, withdrawal: Withdrawal::NotSent };
         self.carry(host, to, || Event::Scheduler { to, from: host, message: message.clone() });
     }
 
     fn hear(&mut self, host: usize, message: PlacementMessage) {
         match message {
-            PlacementMessage::Placed { ticket, place } => {
+            PlacementMessage::Placed { ticket, placement } => {
                 let Some(to) = self.open.remove(&(host, ticket.0)) else { return };
                 let now_ms = Millis(self.now_ms);
                 let upstreams = &self.hosts[host].upstreams;
-                let may_send = upstreams.takes_work(&place.upstream)
-                    && upstreams.backs_off(now_ms, &place.upstream).is_none();
+                let may_send = upstreams.accepts_requests(&placement.upstream)
+                    && upstreams.remaining_backoff(now_ms, &placement.upstream).is_none();
                 match may_send {
-                    true => self.reach(&place.upstream, host, Some((to, ticket))),
+                    true => self.reach(&placement.upstream, host, Some((to, ticket))),
                     false => self.withdraw(host, to, ticket),
                 }
             }
@@ -410,7 +411,7 @@
                 self.queued.insert((host, ticket.0));
                 if let Some(&to) = self.open.get(&(host, ticket.0)) {
                     let scheduler = self.hosts[to].member.host.clone();
-                    self.hosts[host].directory.note_heard(&scheduler);
+                    self.hosts[host].directory.record_response(&scheduler);
                 }
             }
             PlacementMessage::Submit(_)
@@ -426,15 +427,15 @@
         let now_ms = Millis(self.now_ms);
         let fleet = known_fleet(&self.site, now_ms);
         let is_due = self.now_ms.is_multiple_of(OFFER_EACH_MS);
-        if is_due || self.hosts[at].schedulers.has_unordered() {
+        if is_due || self.hosts[at].schedulers.has_unknown_primary() {
             self.note_order(at);
         }
         let Host { schedulers, upstreams, rng, .. } = &mut self.hosts[at];
         schedulers.set_fleet(fleet);
-        if schedulers.next_turn_ms(now_ms).is_none() {
+        if schedulers.next_schedule_ms(now_ms).is_none() {
             return;
         }
-        let effects = schedulers.turn(now_ms, upstreams, rng);
+        let effects = schedulers.schedule(now_ms, upstreams, rng);
         self.carry_out(at, effects);
     }
 
@@ -444,23 +445,23 @@
             _ => self.members(),
         };
         let own = self.hosts[at].member.host.clone();
-        let is_first = |cell: &Cell| {
-            Directory::first(cell, members.iter()).is_some_and(|first| first.host == own)
+        let is_primary = |cell: &Cell| {
+            Directory::primary(cell, members.iter()).is_some_and(|first| first.host == own)
         };
-        self.hosts[at].schedulers.set_first(is_first);
+        self.hosts[at].schedulers.set_primary(is_primary);
     }
 
     fn carry_out(&mut self, at: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Tell { to, message } => {
+                Effect::Send { to, message } => {
                     let to = match to {
-                        Asker::Own => at,
-                        Asker::Peer(address) => usize::from(address.port()),
+                        Requester::OwnHost => at,
+                        Requester::Peer(address) => usize::from(address.port()),
                     };
                     self.carry(at, to, || Event::Host { to, message: message.clone() });
                 }
-                Effect::Ask(upstream) => {
+                Effect::Probe(upstream) => {
                     let run = self.hosts[at].run;
                     self.push(2 * WAY_MS, Event::Asked { by: at, run, upstream });
                 }
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -12,9 +12,9 @@
 pub use caller::Caller;
 
 use crate::event_log::LogEvent;
-use crate::host::{ACCEPT_PAUSE, Host, duration};
-use crate::http1::{BodyReader, Progress as BodyProgress, RequestError, RequestHead, read_request};
-use crate::serve::{Progress, Reply, Request, serve};
+use crate::host::{ACCEPT_PAUSE, Host, to_duration};
+use crate::http1::{BodyProgress, BodyReader, RequestError, RequestHead, read_request};
+use crate::serve::{Reply, Request, RequestProgress, serve};
 use caller::linger;
 use clock::Moment;
 use dispatch::attempts::{Cause, Refusal};
@@ -50,7 +50,7 @@
 /// A request whose answer is still to be written.
 struct Pending {
     request: Rc<Request>,
-    progress: Rc<Progress>,
+    progress: Rc<RequestProgress>,
     task: JoinHandle<Reply>,
     repeat: Idempotency,
 }
@@ -58,15 +58,15 @@
 impl Pending {
     /// The caller left: withdraws the request, unless it runs at most once and was sent.
     fn abandon(&self, host: &Host) {
-        if !self.progress.runs_on.get() {
+        if !self.progress.continues_without_caller.get() {
             self.task.abort();
             return;
         }
-        host.metrics.caller_gone();
+        host.metrics.caller_hung_up();
         host.log.write(&LogEvent::CallerGone {
             id: self.request.head.fields.get(host.dialect.request_id).unwrap_or_default(),
             after_ms: host.now_ms().since(self.request.arrived_ms),
-            sendings: self.progress.sendings.get(),
+            sendings: self.progress.attempts.get(),
             runs_on: true,
         });
     }
@@ -96,7 +96,7 @@
 ///
 /// Then the port is closed too: a connection that nobody would read is better refused.
 pub async fn accept(host: Rc<Host>, listener: TcpListener) {
-    let mut closing = host.closing.subscribe();
+    let mut closing = host.closing_idle.subscribe();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -132,13 +132,13 @@
         active: now,
         is_last: false,
     };
-    session.host.open_sessions.update(|open| open + 1);
+    session.host.open_caller_connections.update(|open| open + 1);
     session.run().await;
     for pending in &session.pending {
         pending.abandon(&session.host);
     }
     linger(&session.caller).await;
-    session.host.open_sessions.update(|open| open - 1);
+    session.host.open_caller_connections.update(|open| open - 1);
 }
 
 /// What a session waits for next.
@@ -205,7 +205,7 @@
     async fn wait(&mut self) -> Next {
         let is_reading = self.caller.has_room();
         let late = self.late_at();
-        let mut closing = self.host.closing.subscribe();
+        let mut closing = self.host.closing_idle.subscribe();
         let is_closing = *closing.borrow();
         if is_closing && self.is_idle() {
             return Next::Closing;
@@ -222,7 +222,7 @@
             reply = answered => match reply {
                 Ok(reply) => Next::Answered(reply),
                 // A task that failed is a fault of ours; whether the request ran is unknown.
-                Err(_) => Next::Answered(Reply::Refused(Refusal::unknown(Cause::UpstreamFailed))),
+                Err(_) => Next::Answered(Reply::Refused(Refusal::may_have_run(Cause::UpstreamFailed))),
             },
             ready = self.caller.stream.readable(), if is_reading => {
                 if ready.is_err() {
@@ -239,10 +239,10 @@
     fn late_at(&self) -> Moment {
         let limits = self.limits();
         match self.head_since {
-            Some(since) if self.arriving.is_none() => since + duration(limits.head_timeout_ms),
-            _ if !self.pending.is_empty() => Moment::now() + duration(limits.idle_timeout_ms),
-            _ if self.is_idle() => self.active + duration(limits.idle_timeout_ms) + IDLE_SLACK,
-            _ => self.active + duration(limits.idle_timeout_ms),
+            Some(since) if self.arriving.is_none() => since + to_duration(limits.head_timeout_ms),
+            _ if !self.pending.is_empty() => Moment::now() + to_duration(limits.idle_timeout_ms),
+            _ if self.is_idle() => self.active + to_duration(limits.idle_timeout_ms) + IDLE_SLACK,
+            _ => self.active + to_duration(limits.idle_timeout_ms),
         }
     }
 
@@ -264,7 +264,7 @@
             return false;
         }
         let Some(arriving) = &mut self.arriving else { return false };
-        let progress = arriving.body.take(&mut self.caller.inbox.borrow_mut());
+        let progress = arriving.body.read_from(&mut self.caller.inbox.borrow_mut());
         match progress {
             Ok(BodyProgress::Whole) => {}
             Ok(BodyProgress::Partial) => {
@@ -335,7 +335,7 @@
     /// Begins to serve the request that is whole, unless it has to wait for those before it.
     fn begin(&mut self) -> bool {
         let Some(request) = self.whole.take() else { return false };
-        let repeat = match request.head.is_reading() {
+        let repeat = match request.head.is_safe_method() {
             true => Idempotency::Idempotent,
             false => Idempotency::AtMostOnce,
         };
@@ -347,7 +347,7 @@
             return false;
         }
         self.is_last = !request.head.keeps_alive || self.host.is_stopping();
-        let progress = Rc::new(Progress::default());
+        let progress = Rc::new(RequestProgress::default());
         let serving = serve(
             Rc::clone(&self.host),
             Rc::clone(&self.caller),
@@ -374,7 +374,7 @@
     /// A faulty request is answered after those before it, and ends the connection.
     async fn write_fault(&mut self) {
         let Some(refusal) = self.faulty else { return };
-        self.host.metrics.refused("", refusal.cause);
+        self.host.metrics.request_refused("", refusal.cause);
         let bytes = render_refusal(&self.host, None, refusal, true);
         // The connection ends here either way.
         let _ = clock::timeout(WRITE_LIMIT, self.caller.write(&bytes)).await;
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -1,7 +1,7 @@
 //! Readiness for the platform, and metrics and state for operators.
 
 use crate::host::{ACCEPT_PAUSE, Host};
-use crate::http1::{AnswerWriter, RequestHead, read_request};
+use crate::http1::{RequestHead, ResponseWriter, read_request};
 use crate::metrics::StateFigures;
 use crate::quarantine;
 use dispatch::Warmth;
@@ -139,7 +139,7 @@
             None => (404, "text/plain", "nothing here\n".to_owned()),
         },
     };
-    let writer = AnswerWriter::new(status).field("content-type", kind.as_bytes());
+    let writer = ResponseWriter::new(status).field("content-type", kind.as_bytes());
     writer.body(status, body.as_bytes(), closes)
 }
 
@@ -161,19 +161,23 @@
 }
 
 fn metrics(host: &Host) -> (u16, &'static str, String) {
-    host.metrics.note_state(&StateFigures {
+    host.metrics.record_state(&StateFigures {
         source_calls: host.source_calls.get(),
         log_lines_dropped: host.log.dropped(),
         open_requests: host.open_requests.get() as u64,
-        quarantined: host.quarantine.borrow().held(host.now_ms()) as u64,
-        evacuated_zones: host.picture().evacuations().in_force().count() as u64,
+        quarantined: host.quarantine.borrow().count_held(host.now_ms()) as u64,
+        evacuated_zones: host.published_state().evacuations().in_force().count() as u64,
         cold_upstreams: host.upstreams.borrow().count_cold(host.now_ms()) as u64,
         limited_upstreams: host.upstreams.borrow().backpressure().count_limited() as u64,
-        backing_off: host.upstreams.borrow().backpressure().backing_off(host.now_ms()).count()
-            as u64,
+        backing_off: host
+            .upstreams
+            .borrow()
+            .backpressure()
+            .upstreams_in_backoff(host.now_ms())
+            .count() as u64,
         leaving_upstreams: host.upstreams.borrow().backpressure().count_leaving() as u64,
-        unread_marks: host.unread.borrow().count_names() as u64,
-        picture_age: host.picture_age_ms().map(crate::host::duration),
+        unread_marks: host.unread_headers.borrow().count_names() as u64,
+        picture_age: host.state_age_ms().map(crate::host::to_duration),
     });
     (200, "text/plain; version=0.0.4", host.metrics.render())
 }
@@ -189,19 +193,19 @@
 
 fn state(host: &Host) -> (u16, &'static str, String) {
     let now_ms = host.now_ms();
-    let picture = host.picture();
+    let picture = host.published_state();
     let upstreams = host.upstreams.borrow();
     let dump_upstream = |entry: &Entry<Arc<Upstream>>| {
         let known = upstreams.get(&entry.value.id)?;
         Some(UpstreamDump {
             entry: entry.clone(),
-            open: known.open(),
-            failure_share: known.failure_share(now_ms),
+            open: known.in_flight(),
+            failure_share: known.failure_rate(now_ms),
             slowness: known.slowness(now_ms, upstreams.load(&entry.value.service)),
-            is_avoided: known.is_avoided(now_ms),
+            is_avoided: known.is_excluded(now_ms),
             eligibility: known.eligibility,
             warmth: known.warmth(now_ms),
-            backs_off_ms: upstreams.backs_off(now_ms, &entry.value.id),
+            backs_off_ms: upstreams.remaining_backoff(now_ms, &entry.value.id),
             rate_limit: upstreams.fleet_rate(now_ms, &entry.value.id).map(|limit| RateLimitDump {
                 per_s: limit.rate,
                 age_ms: now_ms.since(limit.since_ms),
@@ -214,7 +218,7 @@
         is_partial: host.is_partial(),
         is_stopping: host.is_stopping(),
         open_requests: host.open_requests.get(),
-        hosts: host.hosts(),
+        hosts: host.host_count(),
         evacuated_zones: evacuated_zones(&picture),
         routing_version: picture.routing().map(|entry| entry.value.version.to_string()),
         revision: picture.revision(),
--- /dev/null
+++ b/crates/gateway/src/probe.rs
@@ -0,0 +1,264 @@
+//! Probes upstreams just before a request is sent.
+//!
+//! A load report is outdated after some hundred milliseconds, and one host receives too few
+//! responses to stay up to date. So a few candidates are probed for their load on their health
+//! path, and the best one takes the request on the connection that it just answered on, which is
+//! thereby known to be alive. A probe that isn't answered in time goes on in the background, and
+//! its result is recorded.
+
+mod connect;
+mod health_check;
+
+pub use connect::{connect, is_trusted};
+pub use health_check::{note_report, read_load, refresh};
+
+use crate::connection::Connection;
+use crate::host::Host;
+use clock::Moment;
+use dispatch::{
+    Candidate, GOOD_ENOUGH_COST, IMMEDIATE_COST, PROBE_ROUNDS, PROBES_PER_ROUND, UNHEALTHY_COST,
+    ZoneScope,
+};
+use domain::{ServiceName, UpstreamId};
+use health_check::{ProbeBudgetKind, probe_within_limit, take_probe};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::mpsc;
+
+/// After the first response, how long the others are waited for: a round trip between availability
+/// zones, with a new connection.
+const MORE_RESPONSES: Duration = Duration::from_millis(5);
+
+/// Longest wait for the first response.
+const FIRST_RESPONSE: Duration = Duration::from_millis(120);
+
+/// The upstream that was chosen for a request.
+#[derive(Debug)]
+pub struct Chosen {
+    /// Id of the upstream.
+    pub upstream: UpstreamId,
+    /// The connection on which it answered; none if it was not probed.
+    pub connection: Option<Connection>,
+    /// Expected duration, as a multiple of the service's average.
+    pub work: f64,
+    /// Cost by which it was compared with others.
+    pub cost: f64,
+    /// Number of upstreams probed.
+    pub asked: usize,
+    /// Number of upstreams that answered.
+    pub answered: usize,
+}
+
+#[derive(Debug)]
+struct Probed {
+    upstream: UpstreamId,
+    result: ProbeResult,
+}
+
+/// The result of probing an upstream.
+#[derive(Debug)]
+enum ProbeResult {
+    /// The upstream answered on this connection.
+    Response { connection: Connection, is_well: bool },
+    /// The probe budget was spent: the upstream is judged by earlier reports.
+    NotProbed,
+    /// The upstream can't be reached, or another upstream has its address.
+    Failure,
+}
+
+/// Probes candidates of a service in rounds, and chooses the one with the lowest cost.
+pub async fn choose(
+    host: &Rc<Host>,
+    service: &ServiceName,
+    excluded: &[UpstreamId],
+) -> Option<Chosen> {
+    let mut excluded = excluded.to_vec();
+    let mut best: Option<Chosen> = None;
+    let (mut asked, mut answered) = (0, 0);
+    for round in PROBE_ROUNDS {
+        let candidates = next_candidates(host, service, &mut excluded, round);
+        if candidates.is_empty() {
+            break;
+        }
+        asked += candidates.len();
+        let (chosen, replies) = probe_round(host, service, candidates, ProbeBudgetKind::Own).await;
+        answered += replies;
+        best = better(host, best, chosen);
+        if best.as_ref().is_some_and(|best| best.cost <= GOOD_ENOUGH_COST) {
+            break;
+        }
+    }
+    best.map(|chosen| Chosen { asked, answered, ..chosen })
+}
+
+impl Chosen {
+    /// Returns the connection to the pool; the upstream is not used.
+    pub fn put_back(self, host: &Host) {
+        if let Some(connection) = self.connection {
+            host.pool.borrow_mut().put(&self.upstream, connection);
+        }
+    }
+}
+
+/// Probes upstreams of the local availability zone, and returns one that is idle and not slowed.
+pub async fn choose_idle_local(host: &Rc<Host>, service: &ServiceName) -> Option<Chosen> {
+    let candidates: Vec<UpstreamId> = {
+        let upstreams = host.upstreams.borrow();
+        let mut rng = host.rng.borrow_mut();
+        let part = (PROBES_PER_ROUND, ZoneScope::Local);
+        let pool = host.pool.borrow();
+        let is_connected = |id: &UpstreamId| pool.holds(id);
+        let held_back = host.rate_limited_upstreams(&upstreams, service);
+        let now_ms = host.now_ms();
+        let near = upstreams.choose_probe_targets(
+            now_ms,
+            service,
+            &held_back,
+            part,
+            is_connected,
+            &mut rng,
+        );
+        near.into_iter().filter(|id| !upstreams.is_in_other_zone(id)).collect()
+    };
+    if candidates.is_empty() {
+        return None;
+    }
+    let asked = candidates.len();
+    let (chosen, answered) =
+        probe_round(host, service, candidates, ProbeBudgetKind::LocalZone).await;
+    let chosen = chosen?;
+    if chosen.connection.is_some() && chosen.cost <= IMMEDIATE_COST {
+        return Some(Chosen { asked, answered, ..chosen });
+    }
+    chosen.put_back(host);
+    None
+}
+
+fn next_candidates(
+    host: &Host,
+    service: &ServiceName,
+    excluded: &mut Vec<UpstreamId>,
+    round: &[(usize, ZoneScope)],
+) -> Vec<UpstreamId> {
+    let upstreams = host.upstreams.borrow();
+    let mut rng = host.rng.borrow_mut();
+    let pool = host.pool.borrow();
+    let is_connected = |id: &UpstreamId| pool.holds(id);
+    let now_ms = host.now_ms();
+    // Upstreams held back now may be probed in a later round.
+    let mut left_out =
+        [excluded.clone(), host.rate_limited_upstreams(&upstreams, service)].concat();
+    let mut candidates = Vec::new();
+    for &part in round {
+        let next = upstreams.choose_probe_targets(
+            now_ms,
+            service,
+            &left_out,
+            part,
+            is_connected,
+            &mut rng,
+        );
+        left_out.extend_from_slice(&next);
+        candidates.extend(next);
+    }
+    excluded.extend_from_slice(&candidates);
+    candidates
+}
+
+fn better(host: &Host, best: Option<Chosen>, other: Option<Chosen>) -> Option<Chosen> {
+    match (best, other) {
+        (Some(best), Some(other)) if other.cost < best.cost => {
+            best.put_back(host);
+            Some(other)
+        }
+        (Some(best), Some(other)) => {
+            other.put_back(host);
+            Some(best)
+        }
+        (best, other) => best.or(other),
+    }
+}
+
+async fn probe_round(
+    host: &Rc<Host>,
+    service: &ServiceName,
+    candidates: Vec<UpstreamId>,
+    budget: ProbeBudgetKind,
+) -> (Option<Chosen>, usize) {
+    let (replies, mut asked) = mpsc::unbounded_channel();
+    let mut open = candidates.len();
+    for upstream in candidates {
+        let (host, service) = (Rc::clone(host), service.clone());
+        let replies = replies.clone();
+        tokio::task::spawn_local(async move {
+            let reply = probe(&host, &service, upstream, budget).await;
+            if let Err(mpsc::error::SendError(unused)) = replies.send(reply) {
+                return_to_pool(&host, unused);
+            }
+        });
+    }
+    drop(replies);
+    let mut until = Moment::now() + FIRST_RESPONSE;
+    let mut best: Option<Chosen> = None;
+    let mut answered = 0;
+    while open > 0 {
+        let Ok(Some(reply)) = clock::timeout_at(until, asked.recv()).await else { break };
+        open -= 1;
+        answered += usize::from(matches!(reply.result, ProbeResult::Response { .. }));
+        best = better(host, best, weigh(host, reply));
+        if best.as_ref().is_some_and(|best| best.cost <= IMMEDIATE_COST) {
+            break;
+        }
+        if best.is_some() {
+            until = until.min(Moment::now() + MORE_RESPONSES);
+        }
+    }
+    asked.close();
+    while let Ok(unused) = asked.try_recv() {
+        return_to_pool(host, unused);
+    }
+    (best, answered)
+}
+
+fn return_to_pool(host: &Host, asked: Probed) {
+    if let ProbeResult::Response { connection, .. } = asked.result {
+        host.pool.borrow_mut().put(&asked.upstream, connection);
+    }
+}
+
+fn weigh(host: &Host, asked: Probed) -> Option<Chosen> {
+    let (connection, is_well) = match asked.result {
+        ProbeResult::Response { connection, is_well } => (Some(connection), is_well),
+        ProbeResult::NotProbed => (None, true),
+        ProbeResult::Failure => return None,
+    };
+    let upstreams = host.upstreams.borrow();
+    if !upstreams.accepts_requests(&asked.upstream) {
+        return None;
+    }
+    if !host.may_send(&upstreams, &asked.upstream) {
+        drop(upstreams);
+        connection.into_iter().for_each(|it| host.pool.borrow_mut().put(&asked.upstream, it));
+        return None;
+    }
+    let Candidate { upstream, work, cost } =
+        upstreams.estimate_cost(host.now_ms(), &asked.upstream)?;
+    let cost = if is_well { cost } else { cost + UNHEALTHY_COST };
+    Some(Chosen { upstream, connection, work, cost, asked: 0, answered: 0 })
+}
+
+async fn probe(
+    host: &Rc<Host>,
+    service: &ServiceName,
+    upstream: UpstreamId,
+    budget: ProbeBudgetKind,
+) -> Probed {
+    if !take_probe(host, service, &upstream, budget) {
+        return Probed { upstream, result: ProbeResult::NotProbed };
+    }
+    let result = match probe_within_limit(host, service, &upstream).await {
+        Some((connection, is_well)) => ProbeResult::Response { connection, is_well },
+        None => ProbeResult::Failure,
+    };
+    Probed { upstream, result }
+}
--- /dev/null
+++ b/crates/gateway/src/serve/attempt.rs
@@ -0,0 +1,238 @@
+//! Sends a request to upstreams until it has its final response.
+
+use super::attempt_end::{EndedAttempt, KeptFailure, failure_of};
+use super::attempt_guard::AttemptGuard;
+use super::selection::Selected;
+use super::{Reply, RoutedRequest};
+use crate::backpressure;
+use crate::connection::{Connection, ExchangeError, Expected, Response};
+use crate::event_log::{LogEvent, ResponseTo};
+use crate::http1::write_request;
+use crate::probe;
+use crate::quarantine::{self, BrokenOff};
+use dispatch::attempts::{AttemptResult, Cause, Refusal, ResponseSummary};
+use dispatch::backpressure::Backpressure;
+use dispatch::scheduler::Outcome;
+use domain::{Millis, UpstreamId};
+use published::{Idempotency, Route};
+
+/// One attempt, ready to be sent.
+struct Attempt {
+    selected: Selected,
+    connection: Connection,
+    bytes: Vec<u8>,
+    guard: AttemptGuard,
+    sent_ms: Millis,
+    /// It is the only request with its fingerprint that the fleet has in flight.
+    is_trial: bool,
+}
+
+/// Outcomes of a request's attempts so far.
+#[derive(Debug, Default)]
+pub(super) struct AttemptCounts {
+    /// Upstreams that it was sent to, or that could not be used.
+    pub(super) tried: Vec<UpstreamId>,
+    /// Attempts.
+    pub(super) sent: u32,
+    /// Attempts of which any byte was sent.
+    pub(super) arrived: u32,
+    /// Attempts that certainly did not run.
+    pub(super) not_run: u32,
+    /// Attempts during which the upstream crashed.
+    pub(super) crashes: u32,
+}
+
+impl AttemptCounts {
+    /// Attempts that may have run.
+    pub(super) fn may_have_run(&self) -> u32 {
+        self.sent - self.not_run
+    }
+}
+
+impl RoutedRequest {
+    pub(super) fn route(&self) -> &Route {
+        &self.matched.route
+    }
+
+    pub(super) async fn run(self) -> Result<Reply, Refusal> {
+        let mut counts = AttemptCounts::default();
+        let mut kept = None;
+        let outcome = self.send_until_answered(&mut counts, &mut kept).await;
+        if counts.crashes > 0 {
+            quarantine::note_over(&self.host, self.fingerprint());
+        }
+        match (outcome, kept) {
+            // An upstream's error response tells the caller more than a refusal by this host.
+            (Err(refusal), Some(KeptFailure { upstream, answer })) if !refusal.is_not_run => {
+                Ok(self.deliver(&upstream, answer, &counts))
+            }
+            (outcome, _) => outcome,
+        }
+    }
+
+    async fn send_until_answered(
+        &self,
+        counts: &mut AttemptCounts,
+        kept: &mut Option<KeptFailure>,
+    ) -> Result<Reply, Refusal> {
+        loop {
+            self.wait_for_trial(counts).await?;
+            let (selected, connection) = self.select_in_time(counts).await?;
+            let attempt = self.begin(selected, connection, counts)?;
+            tokio::select! {
+                biased;
+                ended = self.send(attempt) => {
+                    if let Some(outcome) = self.handle_end(ended, counts, kept) {
+                        return outcome;
+                    }
+                }
+                () = self.host.clock.sleep_until(self.end_ms) => {
+                    return Err(Refusal::may_have_run(Cause::TimedOut));
+                }
+            }
+        }
+    }
+
+    /// Admits an attempt and records its start; refuses if time is up or the request is quarantined.
+    fn begin(
+        &self,
+        mut selected: Selected,
+        connection: Connection,
+        counts: &mut AttemptCounts,
+    ) -> Result<Attempt, Refusal> {
+        let now_ms = self.host.now_ms();
+        self.check_time(now_ms, counts)?;
+        let is_trial = match self.admit(counts) {
+            Ok(is_trial) => is_trial,
+            Err(refusal) => {
+                self.host.pool.borrow_mut().put(&selected.upstream, connection);
+                return Err(refusal);
+            }
+        };
+        if is_trial {
+            quarantine::begin_trial(&self.host, self.fingerprint(), self.end_ms);
+        }
+        counts.sent += 1;
+        counts.arrived += 1;
+        counts.tried.push(selected.upstream.clone());
+        self.progress.attempts.set(counts.sent);
+        self.progress
+            .continues_without_caller
+            .set(self.route().idempotency == Idempotency::AtMostOnce);
+        self.log_attempt(&selected, now_ms, counts.sent);
+        if selected.placement.is_none() {
+            self.host.record_rated_send(&selected.upstream);
+        }
+        let guard = AttemptGuard::begin(&self.host, &selected.upstream, selected.placement.take());
+        let bytes = self.encode(&selected.upstream, now_ms);
+        Ok(Attempt { selected, connection, bytes, guard, sent_ms: now_ms, is_trial })
+    }
+
+    fn log_attempt(&self, selected: &Selected, now_ms: Millis, sending: u32) {
+        self.host.metrics.attempt_sent(sending > 1);
+        let (is_other_zone, warmth) = {
+            let upstreams = self.host.upstreams.borrow();
+            let known = upstreams.get(&selected.upstream);
+            (
+                upstreams.is_in_other_zone(&selected.upstream),
+                known.map(|known| known.warmth(now_ms)),
+            )
+        };
+        self.host.log.write(&LogEvent::Chosen {
+            id: &self.id,
+            upstream: &selected.upstream,
+            expected_work: rounded(selected.work),
+            cost: rounded(selected.cost),
+            by: selected.by.clone(),
+            report_age_ms: selected.report_age_ms,
+            waited_ms: now_ms.since(selected.begun_ms),
+            is_other_zone,
+            warmth,
+        });
+        self.host.log.write(&LogEvent::Sent {
+            id: &self.id,
+            upstream: &selected.upstream,
+            sending,
+            left_ms: self.end_ms.since(now_ms),
+        });
+    }
+
+    fn encode(&self, upstream: &UpstreamId, now_ms: Millis) -> Vec<u8> {
+        let left_ms = self.end_ms.since(now_ms).0.max(1).to_string();
+        let headers = [
+            (self.host.dialect.deadline_ms, left_ms.as_str()),
+            (self.host.dialect.expected_upstream, upstream.as_str()),
+        ];
+        write_request(&self.request.head, &self.request.body, &headers)
+    }
+
+    async fn send(&self, attempt: Attempt) -> EndedAttempt {
+        let Attempt { selected, mut connection, bytes, guard, sent_ms, is_trial } = attempt;
+        let expected = Expected {
+            has_body: self.request.head.method != "HEAD",
+            id: Some((self.host.dialect.request_id, &self.id)),
+            read_timeouts: None,
+        };
+        let result = tokio::select! {
+            // A response that arrived completely counts even if the upstream has restarted since.
+            biased;
+            result = connection.exchange(&bytes, expected) => result,
+            () = guard.upstream_restarted() => Err(ExchangeError::Broken),
+        };
+        let Selected { upstream, work, .. } = selected;
+        let (end, answer) = match result {
+            Ok(answer) => (AttemptResult::Answered(self.answered(&answer)), Some(answer)),
+            Err(ExchangeError::NotSent) => (AttemptResult::NotSent, None),
+            Err(ExchangeError::Broken | ExchangeError::TimedOut | ExchangeError::Malformed) => {
+                (AttemptResult::Broken, None)
+            }
+        };
+        let fields = answer.as_ref().map(|answer| &answer.head.fields);
+        if let Some(fields) = fields {
+            self.host.log_unread_headers(&upstream, fields, ResponseTo::Request);
+        }
+        let report = fields.and_then(|fields| probe::read_load(&self.host, fields));
+        let backpressure = match (&answer, end) {
+            (Some(answer), AttemptResult::Answered(answered)) => {
+                backpressure::read(&self.host, &upstream, &answer.head, answered)
+            }
+            _ => Backpressure::default(),
+        };
+        if answer.is_some() {
+            self.host.pool.borrow_mut().put(&upstream, connection);
+        }
+        let broke_ms = self.host.now_ms();
+        let took_ms = broke_ms.since(sent_ms);
+        let failure = failure_of(end);
+        let entry = guard.entry();
+        guard.end(&self.service, work, Outcome { failure, took_ms, report, backpressure });
+        let has_crashed = match entry {
+            Some(upstream) if end == AttemptResult::Broken => {
+                let fingerprint = self.fingerprint();
+                let broken = BrokenOff { fingerprint, upstream, sent_ms, broke_ms };
+                // A failed task is a fault in this process, not evidence of a crash.
+                quarantine::examine(&self.host, broken).await.unwrap_or(false)
+            }
+            _ => false,
+        };
+        EndedAttempt { upstream, end, answer, sent_ms, has_crashed, is_trial }
+    }
+
+    fn answered(&self, answer: &Response) -> ResponseSummary {
+        let fields = &answer.head.fields;
+        let dialect = &self.host.dialect;
+        let status = answer.head.status;
+        let not_run = status == 421 || fields.get(dialect.not_run).is_some();
+        let is_plain = fields.get("content-encoding").is_none();
+        ResponseSummary {
+            status,
+            not_run,
+            is_sealed: fields.get(dialect.seal).is_some() && is_plain,
+        }
+    }
+}
+
+/// Rounds to two decimal places for logs.
+fn rounded(figure: f64) -> f64 {
+    (figure * 100.0).round() / 100.0
+}
--- /dev/null
+++ b/crates/gateway/src/serve/attempt_end.rs
@@ -0,0 +1,133 @@
+//! Decides what follows the end of an attempt: deliver its response, retry, or refuse.
+
+use super::attempt::AttemptCounts;
+use super::{Reply, RoutedRequest};
+use crate::connection::Response;
+use crate::event_log::LogEvent;
+use crate::host::to_duration;
+use dispatch::AttemptFailure;
+use dispatch::attempts::{self, AttemptResult, AttemptState, Cause, NextStep, Refusal};
+use domain::{Millis, UpstreamId};
+
+/// An attempt that ended.
+pub(super) struct EndedAttempt {
+    pub(super) upstream: UpstreamId,
+    pub(super) end: AttemptResult,
+    pub(super) answer: Option<Response>,
+    pub(super) sent_ms: Millis,
+    /// The upstream crashed during the attempt.
+    pub(super) has_crashed: bool,
+    pub(super) is_trial: bool,
+}
+
+/// An upstream's own error response, kept while the request is retried.
+pub(super) struct KeptFailure {
+    pub(super) upstream: UpstreamId,
+    pub(super) answer: Response,
+}
+
+impl RoutedRequest {
+    /// Returns the request's outcome, or none if it is to be retried.
+    pub(super) fn handle_end(
+        &self,
+        ended: EndedAttempt,
+        counts: &mut AttemptCounts,
+        kept: &mut Option<KeptFailure>,
+    ) -> Option<Result<Reply, Refusal>> {
+        let now_ms = self.host.now_ms();
+        self.update_quarantine(ended.end, ended.is_trial);
+        counts.crashes += u32::from(ended.has_crashed);
+        if attempts::is_not_run(ended.end) {
+            counts.not_run += 1;
+        }
+        if ended.end == AttemptResult::NotSent {
+            counts.arrived -= 1;
+        }
+        self.log_failure(&ended, now_ms);
+        let uses_retry_budget = counts.arrived > 0;
+        let state = AttemptState {
+            repeat: self.route().idempotency,
+            may_have_run: counts.may_have_run(),
+            attempts_made: counts.sent,
+            max_attempts: self.route().attempts,
+            left_ms: self.end_ms.since(now_ms),
+            is_budget_spent: uses_retry_budget
+                && self.host.retry_budget.borrow().remaining(self.host.now_ms(), &self.service)
+                    < 1.0,
+        };
+        match (attempts::next_step(state, ended.end), ended.answer) {
+            (NextStep::Deliver, Some(answer)) => {
+                Some(Ok(self.deliver(&ended.upstream, answer, counts)))
+            }
+            // Unreachable: only an attempt with a response is delivered.
+            (NextStep::Deliver, None) => Some(Err(Refusal::may_have_run(Cause::UpstreamFailed))),
+            (NextStep::Retry, answer) => {
+                if uses_retry_budget {
+                    self.host.retry_budget.borrow_mut().try_spend(now_ms, &self.service);
+                }
+                if let (Some(answer), true) = (answer, is_own_failure(ended.end)) {
+                    *kept = Some(KeptFailure { upstream: ended.upstream, answer });
+                }
+                None
+            }
+            (NextStep::Refuse(refusal), _) => Some(Err(refusal)),
+        }
+    }
+
+    pub(super) fn deliver(
+        &self,
+        upstream: &UpstreamId,
+        answer: Response,
+        counts: &AttemptCounts,
+    ) -> Reply {
+        let after_ms = self.host.now_ms().since(self.request.arrived_ms);
+        self.host.metrics.response_forwarded(
+            &self.route().name,
+            answer.head.status,
+            to_duration(after_ms),
+        );
+        self.host.log.write(&LogEvent::Delivered {
+            id: &self.id,
+            upstream,
+            status: answer.head.status,
+            after_ms,
+            objective_ms: self.route().objective_ms,
+            sendings: counts.sent,
+        });
+        Reply::Response(answer)
+    }
+
+    fn log_failure(&self, ended: &EndedAttempt, now_ms: Millis) {
+        let Some(failure) = failure_of(ended.end) else { return };
+        self.host.log.write(&LogEvent::SendFailed {
+            id: &self.id,
+            upstream: &ended.upstream,
+            failure,
+            after_ms: now_ms.since(ended.sent_ms),
+            status: ended.answer.as_ref().map(|answer| answer.head.status),
+            is_not_run: attempts::is_not_run(ended.end),
+            repeats_left: self
+                .host
+                .retry_budget
+                .borrow()
+                .remaining(self.host.now_ms(), &self.service),
+            fingerprint: self.fingerprint(),
+            has_crashed: ended.has_crashed,
+        });
+    }
+}
+
+fn is_own_failure(end: AttemptResult) -> bool {
+    matches!(end, AttemptResult::Answered(answered) if attempts::is_upstream_failure(answered))
+}
+
+pub(super) fn failure_of(end: AttemptResult) -> Option<AttemptFailure> {
+    match end {
+        AttemptResult::Answered(answered) if answered.not_run => Some(AttemptFailure::Shed),
+        AttemptResult::Answered(answered) if answered.status >= 500 || !answered.is_sealed => {
+            Some(AttemptFailure::ErrorResponse)
+        }
+        AttemptResult::Answered(_) => None,
+        AttemptResult::NotSent | AttemptResult::Broken => Some(AttemptFailure::Disconnected),
+    }
+}
--- a/crates/gateway/tests/serving.rs
+++ b/crates/gateway/tests/serving.rs
@@ -81,7 +81,8 @@
         assert_eq!(caller.ask(&get("/any/x", "id-0")).await.status, 200);
         if !other.is_empty() {
             published.write("servers", upstream_item(second.id(), second.address()));
-            until("both are known", || gateway.host().picture().upstreams().count() == 2).await;
+            until("both are known", || gateway.host().published_state().upstreams().count() == 2)
+                .await;
         }
         let got = caller.ask(&get("/any/x", "id-1")).await;
         assert_eq!((got.status, got.is_sealed), (500, true), "{got:?}");
@@ -161,8 +162,10 @@
         let (gateway, published) = ready(&[&new]).await;
         // `i-1` is still published with the address that `i-2` has now.
         published.write("servers", support::upstream_item("i-1", old.address()));
-        until("it is known", || gateway.host().upstreams.borrow().count(&support::service()) == 2)
-            .await;
+        until("it is known", || {
+            gateway.host().upstreams.borrow().count_eligible(&support::service()) == 2
+        })
+        .await;
         let mut caller = Caller::connect(callers(&gateway)).await;
         for round in 0..10 {
             let got = caller.ask(&post("/once/x", &format!("id-{round}"), "{}")).await;
@@ -236,7 +239,7 @@
         drop(caller);
         until("both were withdrawn", || upstream.abandoned() == 2).await;
         assert_eq!(gateway.host().open_requests.get(), 0);
-        let log = gateway.host().log.take_waiting();
+        let log = gateway.host().log.take_buffered();
         assert_eq!(log.matches("\"event\":\"caller-gone\"").count(), 2, "{log}");
     });
 }
@@ -253,7 +256,7 @@
         drop(caller);
         until("it ended", || gateway.host().open_requests.get() == 0).await;
         assert_eq!(upstream.abandoned(), 0);
-        let log = gateway.host().log.take_waiting();
+        let log = gateway.host().log.take_buffered();
         assert!(
             log.contains("\"event\":\"caller-gone\"") && log.contains("\"runs_on\":true"),
             "{log}"
@@ -342,8 +345,10 @@
         }
         assert!(ill.seen().is_empty());
         published.remove(&"i-2".parse().unwrap());
-        until("it is gone", || gateway.host().upstreams.borrow().count(&support::service()) == 1)
-            .await;
+        until("it is gone", || {
+            gateway.host().upstreams.borrow().count_eligible(&support::service()) == 1
+        })
+        .await;
         assert_eq!(caller.ask(&get("/any/x", "id-9")).await.status, 200);
         assert_eq!(ill.seen().len(), 1);
     });
@@ -428,7 +433,7 @@
             published.write("servers", support::upstream_item(upstream.id(), upstream.address()));
         }
         let mut settings = support::settings(&[]);
-        settings.limits.asks = domain::PerSecond(0.001);
+        settings.limits.probes = domain::PerSecond(0.001);
         let gateway = support::start(settings, &published).await;
         until("it is ready", || gateway.host().is_ready()).await;
         let mut caller = Caller::connect(callers(&gateway)).await;
@@ -436,8 +441,9 @@
         let host = gateway.host();
         for upstream in &upstreams {
             let (id, now_ms) = (upstream.id().parse().unwrap(), host.now_ms());
-            for purse in [&host.asks, &host.neighbours_asks, &host.placing.asks] {
-                assert!(purse.borrow_mut().take(now_ms, &id, 1.0));
+            for purse in [&host.probe_budget, &host.zone_probe_budget, &host.placement.probe_budget]
+            {
+                assert!(purse.borrow_mut().try_spend(now_ms, &id, 1.0));
             }
         }
         for round in 0..4 {
--- a/crates/published/src/members.rs
+++ b/crates/published/src/members.rs
@@ -10,7 +10,7 @@
 pub use recipients::Recipient;
 
 use decision_core::{Job, Role};
-use domain::{FastMap, HostId, Incarnation, Millis, Wakefulness, ZoneName};
+use domain::{FastMap, HostId, Incarnation, Millis, SuspensionDetector, ZoneName};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -87,7 +87,7 @@
     /// When a host, or a new run of one, was last added.
     changed_ms: Millis,
     stated_fleet: StatedFleet,
-    wakefulness: Wakefulness,
+    suspension_detector: SuspensionDetector,
 }
 
 /// The fleet size that a peer stated.
@@ -123,7 +123,7 @@
             others_in_zone: 0,
             changed_ms: Millis::ZERO,
             stated_fleet: StatedFleet::default(),
-            wakefulness: Wakefulness::default(),
+            suspension_detector: SuspensionDetector::default(),
         }
     }
 
@@ -281,7 +281,7 @@
     /// Time in which this process was suspended doesn't count, since no message arrived then.
     /// Removing all hosts for it would let this one spend the fleet's budgets alone.
     pub fn expire(&mut self, now_ms: Millis) -> Vec<HostId> {
-        let suspended_ms = self.wakefulness.note(now_ms);
+        let suspended_ms = self.suspension_detector.record_awake(now_ms);
         self.others.values_mut().for_each(|peer| peer.heard_ms = peer.heard_ms + suspended_ms);
         self.leaving.retain(|_, (_, left_ms)| now_ms.since(*left_ms) < LEAVING_MS);
         if now_ms.since(self.stated_fleet.at_ms) > STATED_FLEET_MS {
