--- a/crates/published/tests/evacuation.rs
+++ b/crates/published/tests/evacuation.rs
@@ -9,7 +9,7 @@
     Snapshot, StateChange, UpstreamMode,
 };
 use rstest::rstest;
-use support::site::{Broken, Fault, Site, Spell};
+use support::site::{Disabled, Fault, FaultWindow, Site};
 use support::{draining, removed, routing, snapshot, upstream, written};
 
 const NOW: Millis = Millis(10_000);
@@ -174,24 +174,24 @@
 #[case::half_is_lost(&[(Fault::Lossy { percent: 50 }, 9_000, 14_000)])]
 #[case::history_is_lost(&[(Fault::HistoryLost, 10_000, 10_100)])]
 fn a_fleet_in_trouble_holds_it(#[case] faults: &[(Fault, u64, u64)]) {
-    let spell = |&(fault, from_ms, to_ms): &(Fault, u64, u64)| Spell {
+    let window = |&(fault, from_ms, to_ms): &(Fault, u64, u64)| FaultWindow {
         fault,
         from_ms: Millis(from_ms),
         to_ms: Millis(to_ms),
     };
-    let spells: Vec<Spell> = faults.iter().map(spell).collect();
+    let windows: Vec<FaultWindow> = faults.iter().map(window).collect();
     for seed in 0..6 {
-        let mut site = Site::new((12, 3, 0), seed, &spells, Broken::Nothing);
-        site.play(Millis(8_000)).unwrap();
+        let mut site = Site::new((12, 3, 0), seed, &windows, Disabled::Nothing);
+        site.run_until(Millis(8_000)).unwrap();
         for (number, until_ms) in [8_900, 9_800, 10_900, 12_000, 20_000].into_iter().enumerate() {
             let next = site.next_revision();
             site.publish(match number % 2 {
                 0 => evacuated(next, "z-1"),
                 _ => restored(next, "z-1"),
             });
-            site.play(Millis(until_ms)).unwrap();
+            site.run_until(Millis(until_ms)).unwrap();
         }
-        site.check_settled().unwrap();
-        assert!(site.all_hold(|picture| zones(picture) == ["z-1"]), "seed {seed}");
+        site.check_converged().unwrap();
+        assert!(site.all_hosts(|picture| zones(picture) == ["z-1"]), "seed {seed}");
     }
 }
--- a/crates/published/tests/support/mod.rs
+++ b/crates/published/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Published values for tests.
+//! Builders of published values, and simulated sites.
 #![allow(clippy::unwrap_used, dead_code)]
 
 pub mod site;
@@ -50,7 +50,7 @@
     Removal { upstream: id(name), revision: Revision(revision), cause }
 }
 
-/// An entry of the run of an upstream that started at a moment.
+/// An entry of the run of an upstream that started at `start_ms`.
 pub fn of_run(revision: u64, name: &str, start_ms: u64) -> Change {
     let run = RunStart(Some(Millis(start_ms)));
     let upstream = Upstream { run, ..(*upstream(name, UpstreamMode::Ready)).clone() };
@@ -76,7 +76,7 @@
 pub fn snapshot(revision: u64, items: Vec<Change>) -> Snapshot {
     let entry = |change| match change {
         Change::Written(entry) => entry,
-        _ => unreachable!("a whole reading holds entries only"),
+        _ => unreachable!("a snapshot contains entries only"),
     };
     let items = items.into_iter().map(entry).collect();
     Snapshot { revision: Revision(revision), items, overwritten: Vec::new() }
--- a/crates/published/tests/support/site.rs
+++ b/crates/published/tests/support/site.rs
@@ -1,7 +1,7 @@
-//! A site in scripted time: real gossip and readers, a source and a network that fail.
+//! Simulates a site in virtual time: real gossip and readers, a source and a network that fail.
 //!
-//! After every step the promises are checked: nothing goes back, and a change is in force
-//! within its bound at every host that nothing has harmed for a while.
+//! After every step it checks the guarantees: no state goes back, and a change is in force within
+//! [`BOUND_MS`] at every host that no fault has affected for [`RECOVERY_MS`].
 
 use super::{id, removed, routing, written};
 use domain::{Incarnation, Millis};
@@ -14,55 +14,55 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A change has to be in force so long after it was published.
+/// Time within which a published change must be in force.
 const BOUND_MS: Millis = Millis(2_000);
 
-/// Hosts that were harmed so recently promise nothing.
-const CONTACT_MS: Millis = Millis(3_000);
+/// Time after a fault in which an affected host guarantees nothing.
+const RECOVERY_MS: Millis = Millis(3_000);
 
-const ANSWER_MS: Millis = Millis(4);
-const SILENCE_MS: Millis = Millis(400);
-const FETCH_LIMIT_MS: Millis = Millis(800);
-const GREETING_MS: u64 = 3_000;
-const JOINING_MS: u64 = 40;
+const RESPONSE_MS: Millis = Millis(4);
+const SOURCE_TIMEOUT_MS: Millis = Millis(400);
+const FETCH_TIMEOUT_MS: Millis = Millis(800);
+const HELLO_INTERVAL_MS: u64 = 3_000;
+const JOIN_INTERVAL_MS: u64 = 40;
 const SEEDS: usize = 3;
-const SETTLE_MS: u64 = 500;
+const EXPIRE_INTERVAL_MS: u64 = 500;
 
-/// What goes wrong.
+/// A fault of the source, the network or hosts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// The source answers no host, or not those whose number this divides.
+    /// The source answers no host whose number is a multiple of this.
     SourceSilent { every: usize },
-    /// A zone is cut off from all others; the source answers it.
+    /// A zone is cut off from all others, but reaches the source.
     ZoneCut { zone: usize },
-    /// A host is cut off from all others; the source answers it.
+    /// A host is cut off from all others, but reaches the source.
     HostCut { host: usize },
-    /// Hosts whose number this divides are killed, and start again when it ends.
+    /// Hosts whose number is a multiple of this are killed, and restarted at the end of the fault.
     Killed { every: usize },
-    /// Messages are lost, in percent.
+    /// This percentage of messages is lost.
     Lossy { percent: u32 },
     /// The source forgets its history.
     HistoryLost,
 }
 
-/// A fault and its time.
+/// A fault, and when it is active.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Spell {
+pub struct FaultWindow {
     pub fault: Fault,
     pub from_ms: Millis,
     pub to_ms: Millis,
 }
 
-/// A mechanism that is broken on purpose, to see that the checks notice.
+/// A mechanism that is disabled, to test that the checks detect it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Broken {
-    /// Nothing is.
+pub enum Disabled {
+    /// All mechanisms work.
     Nothing,
-    /// Answers to fetches are lost.
-    Fetches,
-    /// Only the host that is wanted most ever reads.
-    StandIns,
-    /// Hosts that are to pass news on don't.
+    /// Replies to fetches are lost.
+    FetchReplies,
+    /// Only the host with the greatest reader weight ever reads.
+    Takeover,
+    /// Relays don't forward updates.
     Relays,
 }
 
@@ -75,32 +75,56 @@
     is_reading: bool,
     wake_ms: Millis,
     in_force: Revision,
-    harmed_ms: Millis,
+    last_fault_ms: Millis,
 }
 
 enum Event {
-    Message { to: usize, from: SocketAddr, message: Message },
-    Told { to: usize, run: Incarnation, fetch: Fetch, answer: Option<(SocketAddr, FetchReply)> },
-    Announce { host: usize, run: Incarnation },
-    AnswerMore { host: usize, run: Incarnation },
-    Fetch { host: usize, run: Incarnation, fetch: Fetch },
-    Read { host: usize, run: Incarnation, asked: ReadStep, after: Revision },
+    Message {
+        to: usize,
+        from: SocketAddr,
+        message: Message,
+    },
+    FetchEnded {
+        to: usize,
+        run: Incarnation,
+        fetch: Fetch,
+        answer: Option<(SocketAddr, FetchReply)>,
+    },
+    AnnounceJoined {
+        host: usize,
+        run: Incarnation,
+    },
+    AnswerPendingJoins {
+        host: usize,
+        run: Incarnation,
+    },
+    Fetch {
+        host: usize,
+        run: Incarnation,
+        fetch: Fetch,
+    },
+    Read {
+        host: usize,
+        run: Incarnation,
+        step: ReadStep,
+        after: Revision,
+    },
 }
 
-/// The site.
+/// The simulated site.
 pub struct Site {
     now_ms: Millis,
     hosts: Vec<Host>,
     events: BTreeMap<(Millis, u64), Event>,
-    numbered: u64,
+    event_count: u64,
     rng: Pcg64Mcg,
-    spells: Vec<Spell>,
-    broken: Broken,
+    faults: Vec<FaultWindow>,
+    disabled: Disabled,
     items: BTreeMap<String, Entry<Item>>,
     history: Vec<Change>,
     history_since: Revision,
     revision: Revision,
-    /// When each change was published.
+    /// When each revision was published.
     published: Vec<(Revision, Millis)>,
     pub calls: usize,
 }
@@ -118,17 +142,17 @@
     pub fn new(
         (hosts, zones, upstreams): (usize, usize, usize),
         seed: u64,
-        spells: &[Spell],
-        broken: Broken,
+        faults: &[FaultWindow],
+        disabled: Disabled,
     ) -> Site {
         let mut site = Site {
             now_ms: Millis(0),
             hosts: Vec::new(),
             events: BTreeMap::new(),
-            numbered: 0,
+            event_count: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            spells: spells.to_vec(),
-            broken,
+            faults: faults.to_vec(),
+            disabled,
             items: BTreeMap::new(),
             history: Vec::new(),
             history_since: Revision(0),
@@ -169,11 +193,11 @@
             is_reading: false,
             wake_ms: self.now_ms,
             in_force: Revision(0),
-            harmed_ms: self.now_ms,
+            last_fault_ms: self.now_ms,
         }
     }
 
-    /// Publishes a change; its revision is the next one.
+    /// Publishes a change, which must have the next revision.
     pub fn publish(&mut self, change: Change) {
         self.revision = Revision(self.revision.0 + 1);
         assert_eq!(revision_of(&change), self.revision);
@@ -192,14 +216,14 @@
             Change::EvacuationEnded(end) => {
                 self.items.remove(&format!("evacuation of {}", end.zone));
             }
-            Change::Patched(_) => unreachable!("the source publishes whole values"),
+            Change::Patched(_) => unreachable!("the source publishes no patches"),
         }
         self.history.push(change);
         self.published.push((self.revision, self.now_ms));
     }
 
-    /// Publishes any kind of change.
-    pub fn publish_some(&mut self) {
+    /// Publishes a random change.
+    pub fn publish_random(&mut self) {
         let next = self.revision.0 + 1;
         let name = format!("i-{}", self.rng.random_range(0..20));
         let is_there = self.items.contains_key(id(&name).as_str());
@@ -211,11 +235,11 @@
         self.publish(change);
     }
 
-    /// Plays for a while; says what promise broke, if one did.
-    pub fn play(&mut self, until_ms: Millis) -> Result<(), String> {
+    /// Simulates the site up to `until_ms`; returns the first violated guarantee as an error.
+    pub fn run_until(&mut self, until_ms: Millis) -> Result<(), String> {
         while self.now_ms < until_ms {
             self.now_ms = self.now_ms + Millis(1);
-            self.harm();
+            self.apply_faults();
             self.deliver();
             for at in 0..self.hosts.len() {
                 if self.hosts[at].is_up {
@@ -227,15 +251,15 @@
         Ok(())
     }
 
-    /// All that are up hold the same, which is what is published.
-    pub fn check_settled(&self) -> Result<(), String> {
+    /// Checks that all running hosts have the published state.
+    pub fn check_converged(&self) -> Result<(), String> {
         let up = || self.hosts.iter().filter(|host| host.is_up);
         let digests: Vec<u64> = up().map(|host| host.gossip.published_state().digest()).collect();
         match digests.windows(2).all(|pair| pair[0] == pair[1]) {
             true if up().all(|host| host.gossip.published_state().revision() >= self.revision) => {
                 Ok(())
             }
-            _ => Err("hosts hold different pictures after all is calm".to_owned()),
+            _ => Err("hosts have different states after all faults have ended".to_owned()),
         }
     }
 
@@ -244,18 +268,19 @@
         self.revision.0 + 1
     }
 
-    /// Whether something holds of what each host that is up believes.
-    pub fn all_hold(&self, holds: impl Fn(&PublishedState) -> bool) -> bool {
+    /// Whether `holds` is true for the state of each running host.
+    pub fn all_hosts(&self, holds: impl Fn(&PublishedState) -> bool) -> bool {
         self.hosts.iter().filter(|host| host.is_up).all(|host| holds(host.gossip.published_state()))
     }
 
     fn active(&self) -> impl Iterator<Item = Fault> + '_ {
         let now_ms = self.now_ms;
-        let is_active = move |spell: &&Spell| (spell.from_ms..spell.to_ms).contains(&now_ms);
-        self.spells.iter().filter(is_active).map(|spell| spell.fault)
+        let is_active =
+            move |window: &&FaultWindow| (window.from_ms..window.to_ms).contains(&now_ms);
+        self.faults.iter().filter(is_active).map(|window| window.fault)
     }
 
-    fn harm(&mut self) {
+    fn apply_faults(&mut self) {
         let active: Vec<Fault> = self.active().collect();
         for at in 0..self.hosts.len() {
             let is_killed = active
@@ -272,14 +297,14 @@
             self.history_since = self.revision;
         }
         for at in 0..self.hosts.len() {
-            if active.iter().any(|&fault| self.is_harmed(at, fault)) {
-                self.hosts[at].harmed_ms = self.now_ms;
+            if active.iter().any(|&fault| self.is_affected(at, fault)) {
+                self.hosts[at].last_fault_ms = self.now_ms;
             }
         }
     }
 
-    /// Faults of others excuse nobody, but for those of the source and of all links.
-    fn is_harmed(&self, at: usize, fault: Fault) -> bool {
+    /// Whether a fault affects a host. Faults of the source and of all links affect every host.
+    fn is_affected(&self, at: usize, fault: Fault) -> bool {
         match fault {
             Fault::SourceSilent { .. } | Fault::HistoryLost | Fault::Lossy { .. } => true,
             Fault::ZoneCut { zone } => self.hosts[at].zone == zone,
@@ -302,7 +327,7 @@
             Fault::Lossy { percent } => Some(percent),
             _ => None,
         });
-        // One in two hundred is lost at any time.
+        // One message in two hundred is lost even without a fault.
         let per_mille = 5 + 10 * percents.max().unwrap_or(0);
         self.rng.random_range(0..1_000) < per_mille
     }
@@ -320,8 +345,8 @@
     }
 
     fn push(&mut self, at_ms: Millis, event: Event) {
-        self.numbered += 1;
-        self.events.insert((at_ms, self.numbered), event);
+        self.event_count += 1;
+        self.events.insert((at_ms, self.event_count), event);
     }
 
     fn deliver(&mut self) {
@@ -334,20 +359,20 @@
                     let effects = self.hosts[to].gossip.handle_message(now_ms, message, from);
                     self.carry_out(to, effects);
                 }
-                Event::Told { to, run, fetch, answer }
+                Event::FetchEnded { to, run, fetch, answer }
                     if self.hosts[to].is_up && self.run_of(to) == run =>
                 {
-                    let answer = answer.filter(|_| self.broken != Broken::Fetches);
+                    let answer = answer.filter(|_| self.disabled != Disabled::FetchReplies);
                     let effects = self.hosts[to].gossip.finish_fetch(now_ms, fetch, answer);
                     self.carry_out(to, effects);
                 }
-                Event::Announce { host, run }
+                Event::AnnounceJoined { host, run }
                     if self.hosts[host].is_up && self.run_of(host) == run =>
                 {
                     let effects = self.hosts[host].gossip.announce_joined(now_ms);
                     self.carry_out(host, effects);
                 }
-                Event::AnswerMore { host, run }
+                Event::AnswerPendingJoins { host, run }
                     if self.hosts[host].is_up && self.run_of(host) == run =>
                 {
                     let effects = self.hosts[host].gossip.answer_pending_joins(now_ms);
@@ -358,10 +383,10 @@
                 {
                     self.fetch(host, fetch);
                 }
-                Event::Read { host, run, asked, after }
+                Event::Read { host, run, step, after }
                     if self.hosts[host].is_up && self.run_of(host) == run =>
                 {
-                    self.read(host, asked, after);
+                    self.read(host, step, after);
                 }
                 _ => {}
             }
@@ -370,7 +395,7 @@
 
     fn received(&self, message: Message) -> Message {
         match message {
-            Message::StateUpdate { update, .. } if self.broken == Broken::Relays => {
+            Message::StateUpdate { update, .. } if self.disabled == Disabled::Relays => {
                 Message::StateUpdate { update, should_relay: false }
             }
             message => message,
@@ -381,7 +406,7 @@
         let now_ms = self.now_ms;
         let offset = 17 * at as u64;
         let is_joining = self.hosts[at].gossip.is_joining(now_ms);
-        let every_ms = if is_joining { JOINING_MS } else { GREETING_MS };
+        let every_ms = if is_joining { JOIN_INTERVAL_MS } else { HELLO_INTERVAL_MS };
         if (now_ms.0 + offset).is_multiple_of(every_ms) {
             let seeds = self.hosts[..SEEDS].iter().map(|host| host.address);
             let own = self.hosts[at].address;
@@ -391,7 +416,7 @@
                 if is_joining { gossip.join(&others) } else { gossip.send_hello(&others) };
             self.carry_out(at, effects);
         }
-        if (now_ms.0 + offset).is_multiple_of(SETTLE_MS) {
+        if (now_ms.0 + offset).is_multiple_of(EXPIRE_INTERVAL_MS) {
             let effects = self.hosts[at].gossip.expire(now_ms);
             self.carry_out(at, effects);
         }
@@ -401,13 +426,13 @@
     fn step_reader(&mut self, at: usize) {
         let now_ms = self.now_ms;
         let host = &mut self.hosts[at];
-        let waits = host.is_reading || now_ms < host.wake_ms;
-        if waits || host.gossip.is_bootstrap_pending(now_ms) {
+        let is_waiting = host.is_reading || now_ms < host.wake_ms;
+        if is_waiting || host.gossip.is_bootstrap_pending(now_ms) {
             return;
         }
         let step =
             host.reader.step(now_ms, host.gossip.members(), host.gossip.published_state(), false);
-        let is_barred = self.broken == Broken::StandIns
+        let is_takeover_disabled = self.disabled == Disabled::Takeover
             && host.gossip.members().reader_rank() > 0
             && host.gossip.published_state().confirmed_ms().is_some();
         let wait_ms = match step {
@@ -415,7 +440,7 @@
                 host.wake_ms = until_ms;
                 return;
             }
-            _ if is_barred => return,
+            _ if is_takeover_disabled => return,
             ReadStep::Sample | ReadStep::FirstPage | ReadStep::Snapshot => Millis(0),
             ReadStep::Changes(wait_ms) => wait_ms,
         };
@@ -425,23 +450,23 @@
         }
         self.calls += 1;
         let after = host.gossip.published_state().revision();
-        let has_news = after < self.revision;
+        let has_changes = after < self.revision;
         let took_ms = match self.is_silent_to(at) {
-            true => wait_ms + SILENCE_MS,
-            false if has_news => ANSWER_MS,
-            false => ANSWER_MS + wait_ms,
+            true => wait_ms + SOURCE_TIMEOUT_MS,
+            false if has_changes => RESPONSE_MS,
+            false => RESPONSE_MS + wait_ms,
         };
         let run = self.run_of(at);
-        self.push(now_ms + took_ms, Event::Read { host: at, run, asked: step, after });
+        self.push(now_ms + took_ms, Event::Read { host: at, run, step, after });
     }
 
     fn is_silent_to(&self, at: usize) -> bool {
-        let meets =
+        let is_affected =
             |fault| matches!(fault, Fault::SourceSilent { every } if at.is_multiple_of(every));
-        self.active().any(meets)
+        self.active().any(is_affected)
     }
 
-    fn read(&mut self, at: usize, asked: ReadStep, after: Revision) {
+    fn read(&mut self, at: usize, step: ReadStep, after: Revision) {
         let now_ms = self.now_ms;
         self.hosts[at].is_reading = false;
         if self.is_silent_to(at) {
@@ -449,7 +474,7 @@
             let effects = self.hosts[at].gossip.broadcast_read_failure(now_ms);
             return self.carry_out(at, effects);
         }
-        if matches!(asked, ReadStep::FirstPage | ReadStep::Snapshot) {
+        if matches!(step, ReadStep::FirstPage | ReadStep::Snapshot) {
             let snapshot = Snapshot {
                 revision: self.revision,
                 items: self.items.values().cloned().collect(),
@@ -462,8 +487,8 @@
         if after < self.history_since {
             return self.hosts[at].reader.require_snapshot();
         }
-        let is_news = |change: &&Change| revision_of(change) > after;
-        let changes: Vec<Change> = self.history.iter().filter(is_news).cloned().collect();
+        let is_newer = |change: &&Change| revision_of(change) > after;
+        let changes: Vec<Change> = self.history.iter().filter(is_newer).cloned().collect();
         let effects = self.hosts[at].gossip.apply_changes(now_ms, after, self.revision, &changes);
         self.hosts[at].reader.succeeded(now_ms, !changes.is_empty());
         self.carry_out(at, effects);
@@ -484,11 +509,11 @@
                 Effect::StateUpdated { .. } => self.hosts[at].wake_ms = self.now_ms,
                 Effect::AnswerPendingJoins { delay_ms } => {
                     let run = self.run_of(at);
-                    self.push(self.now_ms + delay_ms, Event::AnswerMore { host: at, run });
+                    self.push(self.now_ms + delay_ms, Event::AnswerPendingJoins { host: at, run });
                 }
                 Effect::AnnounceJoined { delay_ms } => {
                     let run = self.run_of(at);
-                    self.push(self.now_ms + delay_ms, Event::Announce { host: at, run });
+                    self.push(self.now_ms + delay_ms, Event::AnnounceJoined { host: at, run });
                 }
                 Effect::FetchEnded { .. } | Effect::PeersDiscovered(_) | Effect::PeerRemoved(_) => {
                 }
@@ -512,41 +537,42 @@
         for &address in &fetch.from {
             let peer = self.at_address(address);
             let is_there = self.hosts[peer].is_up && !self.is_cut(at, peer);
-            let told = self.hosts[peer].gossip.reply_to_fetch(self.now_ms, fetch.request);
-            match told.filter(|_| is_there) {
-                Some(told) => {
+            let reply = self.hosts[peer].gossip.reply_to_fetch(self.now_ms, fetch.request);
+            match reply.filter(|_| is_there) {
+                Some(reply) => {
                     took_ms = took_ms + self.delay_ms(at, peer) + self.delay_ms(at, peer);
-                    answer = Some((address, told));
+                    answer = Some((address, reply));
                     break;
                 }
-                // Who is there and can't help closes the connection at once.
+                // A running host that can't help closes the connection at once.
                 None if is_there => took_ms = took_ms + self.delay_ms(at, peer),
-                None => took_ms = took_ms + FETCH_LIMIT_MS,
+                None => took_ms = took_ms + FETCH_TIMEOUT_MS,
             }
         }
         let run = self.run_of(at);
-        // The answer was true when it left: its age grows on the way.
-        let aged = answer
-            .map(|(address, told)| (address, FetchReply { age_ms: told.age_ms + took_ms, ..told }));
-        self.push(self.now_ms + took_ms, Event::Told { to: at, run, fetch, answer: aged });
+        // The reply ages on its way.
+        let aged = answer.map(|(address, reply)| {
+            (address, FetchReply { age_ms: reply.age_ms + took_ms, ..reply })
+        });
+        self.push(self.now_ms + took_ms, Event::FetchEnded { to: at, run, fetch, answer: aged });
     }
 
     fn check(&mut self, at: usize) -> Result<(), String> {
         let now_ms = self.now_ms;
         let host = &mut self.hosts[at];
-        let picture = host.gossip.published_state();
-        let in_force = picture.routing().map_or(Revision(0), |entry| entry.revision);
+        let state = host.gossip.published_state();
+        let in_force = state.routing().map_or(Revision(0), |entry| entry.revision);
         if in_force < host.in_force {
-            return Err(format!("at {now_ms} host {at} went back to {in_force}"));
+            return Err(format!("at {now_ms} host {at} went back to routing revision {in_force}"));
         }
         host.in_force = in_force;
-        let is_calm = now_ms.since(host.harmed_ms) > CONTACT_MS;
+        let has_recovered = now_ms.since(host.last_fault_ms) > RECOVERY_MS;
         let due = |published: &&(Revision, Millis)| now_ms.since(published.1) > BOUND_MS;
         let due = self.published.iter().rev().find(due).map(|(revision, _)| *revision);
         match due {
-            Some(due) if is_calm && picture.revision() < due => Err(format!(
-                "at {now_ms} host {at} holds {} and should hold {due}",
-                picture.revision()
+            Some(due) if has_recovered && state.revision() < due => Err(format!(
+                "at {now_ms} host {at} has revision {} instead of {due}",
+                state.revision()
             )),
             _ => Ok(()),
         }
