--- a/crates/published/tests/routing.rs
+++ b/crates/published/tests/routing.rs
@@ -44,7 +44,11 @@
 #[case::host_of_the_table_too("b.example", "/any", Some("B.example/"))]
 #[case::other_host("c.example", "/x/1", None)]
 #[case::part_of_a_host("example", "/x/1", None)]
-fn finds(#[case] host: &str, #[case] path: &str, #[case] wanted: Option<&str>) {
+fn finds_the_route_of_a_request(
+    #[case] host: &str,
+    #[case] path: &str,
+    #[case] wanted: Option<&str>,
+) {
     let table = table();
     let found = table.find(host, path);
     assert_eq!(found.as_ref().map(|found| found.route.name.as_str()), wanted);
