--- a/crates/published/tests/joining.rs
+++ b/crates/published/tests/joining.rs
@@ -1,4 +1,4 @@
-//! A host that has just started is told what it needs, and by whom.
+//! A host that has just started gets what it needs to serve, and the hosts to fetch the rest from.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -29,7 +29,7 @@
     Gossip::new(member(number), Pcg64Mcg::seed_from_u64(u64::from(number)))
 }
 
-/// A routing and so many upstreams.
+/// A snapshot of a routing and a number of upstreams.
 fn published(upstreams: u64) -> Snapshot {
     let items = std::iter::once(routing(1, 1))
         .chain((0..upstreams).map(|n| written(n + 2, &format!("i-{n}"))));
@@ -45,13 +45,13 @@
 fn join(seed: &mut Gossip, number: u16, at_ms: Millis) -> Option<Bootstrap> {
     let from = member(number);
     let sender = from.address;
-    answer_to(
+    reply_to(
         number,
         &seed.handle_message(at_ms, Message::Join { from, is_redirected: false }, sender),
     )
 }
 
-fn answer_to(number: u16, effects: &[Effect]) -> Option<Bootstrap> {
+fn reply_to(number: u16, effects: &[Effect]) -> Option<Bootstrap> {
     effects.iter().find_map(|effect| match effect {
         Effect::Send { message: Message::JoinReply(reply), to }
             if to.contains(&member(number).address) =>
@@ -62,7 +62,7 @@
     })
 }
 
-fn answer(joining: &mut Gossip, from: u16, bootstrap: Bootstrap) -> Vec<Effect> {
+fn receive_reply(joining: &mut Gossip, from: u16, bootstrap: Bootstrap) -> Vec<Effect> {
     let reply = published::JoinReply { from: member(from), host_count: 9, bootstrap };
     joining.handle_message(NOW, Message::JoinReply(Box::new(reply)), member(from).address)
 }
@@ -70,28 +70,28 @@
 #[rstest]
 #[case::none(0, true, 0)]
 #[case::few(34, true, 34)]
-#[case::many_and_all_near(1_080, false, 5)]
-fn it_is_told_all_or_what_it_needs_to_begin(
+#[case::many_and_all_in_the_local_zone(1_080, false, 5)]
+fn a_joining_host_gets_everything_or_a_part_to_serve_with(
     #[case] upstreams: u64,
     #[case] is_complete: bool,
-    #[case] told: usize,
+    #[case] upstream_count: usize,
 ) {
-    let offer = join(&mut seed(upstreams), 2, NOW).unwrap();
+    let bootstrap = join(&mut seed(upstreams), 2, NOW).unwrap();
     let mut joining = host(2);
-    answer(&mut joining, 1, offer);
+    receive_reply(&mut joining, 1, bootstrap);
     assert!(joining.published_state().routing().is_some());
     assert_eq!(joining.published_state().confirmed_ms().is_some(), is_complete);
     assert_eq!(joining.published_state().is_partial(), !is_complete);
-    assert_eq!(joining.published_state().upstreams().count(), told);
+    assert_eq!(joining.published_state().upstreams().count(), upstream_count);
     assert_eq!(joining.members().count(), 9, "the fleet that the seed knows");
 }
 
 #[test]
-fn hosts_are_told_different_upstreams_and_none_that_leaves() {
+fn hosts_get_different_upstreams_and_no_draining_ones() {
     let mut seed = seed(200);
     let leaving: Vec<Change> = (0..100).map(|n| draining(n + 300, &format!("i-{n}"))).collect();
     seed.apply_changes(NOW, Revision(201), Revision(400), &leaving);
-    let told = |offer: Bootstrap| match offer {
+    let upstreams_in = |bootstrap: Bootstrap| match bootstrap {
         Bootstrap::Partial { snapshot: first, .. } => {
             let mut joining = published::PublishedState::default();
             joining.apply_bootstrap(NOW, first);
@@ -101,48 +101,51 @@
             ids.sort();
             ids
         }
-        offer => panic!("{offer:?}"),
+        bootstrap => panic!("{bootstrap:?}"),
     };
-    let first = told(join(&mut seed, 2, NOW).unwrap());
-    let second = told(join(&mut seed, 3, NOW).unwrap());
+    let first = upstreams_in(join(&mut seed, 2, NOW).unwrap());
+    let second = upstreams_in(join(&mut seed, 3, NOW).unwrap());
     assert_ne!(first, second);
 }
 
 #[test]
-fn before_a_routing_is_published_it_is_told_that_there_is_none() {
+fn a_joining_host_learns_that_no_routing_is_published() {
     let mut seed = host(1);
     seed.apply_snapshot(NOW, snapshot(1, Vec::new()));
-    let offer = join(&mut seed, 2, NOW).unwrap();
+    let bootstrap = join(&mut seed, 2, NOW).unwrap();
     let mut joining = host(2);
-    answer(&mut joining, 1, offer);
-    assert!(joining.published_state().confirmed_ms().is_some(), "it need not read by itself");
+    receive_reply(&mut joining, 1, bootstrap);
+    assert!(
+        joining.published_state().confirmed_ms().is_some(),
+        "it need not read the source itself"
+    );
 }
 
 #[test]
-fn it_waits_for_a_seed_that_reads_and_is_told_then() {
+fn a_joining_host_waits_for_a_seed_that_reads_and_gets_its_answer() {
     let mut seed = host(1);
     seed.set_initial_read(true);
-    let offer = join(&mut seed, 2, NOW).unwrap();
-    assert_eq!(offer, Bootstrap::NotReady { is_reading: true });
+    let bootstrap = join(&mut seed, 2, NOW).unwrap();
+    assert_eq!(bootstrap, Bootstrap::NotReady { is_reading: true });
     let mut joining = host(2);
-    answer(&mut joining, 1, offer);
+    receive_reply(&mut joining, 1, bootstrap);
     assert!(joining.is_bootstrap_pending(NOW + Millis(500)));
-    assert!(!joining.is_bootstrap_pending(NOW + Millis(1_000)), "not for ever");
+    assert!(!joining.is_bootstrap_pending(NOW + Millis(1_000)), "the wait ends");
     let effects = seed.apply_snapshot(NOW + Millis(100), published(34));
-    assert!(matches!(answer_to(2, &effects), Some(Bootstrap::Complete(_))));
+    assert!(matches!(reply_to(2, &effects), Some(Bootstrap::Complete(_))));
 }
 
 #[test]
-fn the_first_page_of_a_large_source_is_enough_to_help_others() {
+fn a_seed_answers_joins_after_its_first_page() {
     let mut seed = host(1);
     seed.set_initial_read(true);
     join(&mut seed, 2, NOW);
     let effects = seed.apply_partial_items(NOW, published(499).items);
-    assert!(matches!(answer_to(2, &effects), Some(Bootstrap::Partial { .. })));
+    assert!(matches!(reply_to(2, &effects), Some(Bootstrap::Partial { .. })));
 }
 
 #[test]
-fn two_that_read_do_not_wait_for_each_other() {
+fn two_hosts_that_read_do_not_wait_for_each_other() {
     let mut pair = [host(1), host(2)];
     for one in &mut pair {
         one.set_initial_read(true);
@@ -151,19 +154,19 @@
     let [first, second] = &mut pair;
     let to_second = join(first, 2, NOW).unwrap();
     let to_first = join(second, 1, NOW).unwrap();
-    answer(second, 1, to_second);
-    answer(first, 2, to_first);
+    receive_reply(second, 1, to_second);
+    receive_reply(first, 2, to_first);
     assert!(!first.is_bootstrap_pending(NOW) && !second.is_bootstrap_pending(NOW));
 }
 
 #[test]
-fn the_most_capable_are_told_first_and_help() {
+fn the_most_capable_hosts_are_answered_first_and_answer_others() {
     let mut seed = host(1);
     for number in 100..300 {
         join(&mut seed, number, NOW);
     }
     let mut effects = seed.apply_snapshot(NOW, published(1_000));
-    assert!(effects.len() < 20, "not all at once");
+    assert!(effects.len() < 20, "not all answers are sent at once");
     while let Some(Effect::AnswerPendingJoins { .. }) =
         effects.iter().rfind(|effect| matches!(effect, Effect::AnswerPendingJoins { .. }))
     {
@@ -176,72 +179,75 @@
         effects.iter().position(is_to).unwrap()
     };
     assert!((100..300).all(|number| number == 200 || position(200) < position(number)));
-    let told = (100..300)
-        .filter(|&number| matches!(answer_to(number, &effects), Some(Bootstrap::Partial { .. })));
-    assert_eq!(told.count(), 32, "the others are sent to those");
-    let sent_on = (100..300).filter(|&number| {
-        matches!(answer_to(number, &effects), Some(Bootstrap::Redirect { to }) if to != member(1).address)
+    let answered_directly = (100..300)
+        .filter(|&number| matches!(reply_to(number, &effects), Some(Bootstrap::Partial { .. })));
+    assert_eq!(answered_directly.count(), 32, "the others are redirected");
+    let redirected = (100..300).filter(|&number| {
+        matches!(reply_to(number, &effects), Some(Bootstrap::Redirect { to }) if to != member(1).address)
     });
-    assert_eq!(sent_on.count(), 168);
+    assert_eq!(redirected.count(), 168);
 }
 
 #[test]
-fn one_that_asks_twice_in_a_moment_has_its_answer_on_the_way() {
+fn a_repeated_join_is_ignored_for_a_moment() {
     let mut seed = seed(1_000);
     assert!(join(&mut seed, 2, NOW).is_some());
     assert!(join(&mut seed, 2, NOW + Millis(40)).is_none());
-    assert!(join(&mut seed, 2, NOW + Millis(400)).is_some(), "it was lost");
+    assert!(join(&mut seed, 2, NOW + Millis(400)).is_some(), "the first answer may have been lost");
 }
 
 #[test]
-fn who_joined_is_announced_once_in_one_message() {
+fn joined_hosts_are_announced_once_in_one_message() {
     let mut seed = seed(10);
     for number in 2..22 {
         join(&mut seed, number, NOW);
     }
-    let known = |effects: Vec<Effect>| -> Vec<usize> {
+    let announced = |effects: Vec<Effect>| -> Vec<usize> {
         let of = |effect: Effect| match effect {
             Effect::Send { message: Message::Members { members, .. }, .. } => Some(members.len()),
             _ => None,
         };
         effects.into_iter().filter_map(of).collect()
     };
-    assert_eq!(known(seed.announce_joined(NOW)), [20]);
-    assert!(known(seed.announce_joined(NOW)).is_empty());
+    assert_eq!(announced(seed.announce_joined(NOW)), [20]);
+    assert!(announced(seed.announce_joined(NOW)).is_empty());
     for number in 30..130 {
         join(&mut seed, number, NOW);
     }
-    assert!(known(seed.announce_joined(NOW)).is_empty(), "their lists come with the picture");
+    assert!(
+        announced(seed.announce_joined(NOW)).is_empty(),
+        "their member lists come with the full snapshot"
+    );
     let from = member(400);
     let sender = from.address;
     seed.handle_message(NOW, Message::Join { from, is_redirected: true }, sender);
-    assert!(known(seed.announce_joined(NOW)).is_empty(), "it came with hundreds of others");
+    assert!(announced(seed.announce_joined(NOW)).is_empty(), "it belongs to a large group");
 }
 
 #[test]
-fn the_rest_is_passed_on_in_a_tree() {
+fn the_full_snapshot_is_distributed_in_a_tree() {
     let mut seed = seed(1_000);
-    let mut seen = Vec::new();
+    let mut replies = Vec::new();
     for number in 2..34 {
         let Some(Bootstrap::Partial { rest_from, after_ms, .. }) = join(&mut seed, number, NOW)
         else {
             panic!("host {number}");
         };
-        seen.push((number, rest_from, after_ms));
+        replies.push((number, rest_from, after_ms));
     }
     let own = member(1).address;
-    let at_seed = seen.iter().filter(|(_, from, _)| from[0] == own).count();
-    assert_eq!(at_seed, 1, "the seed gives one copy to the zone");
-    for (number, from, after_ms) in &seen {
-        let parent = seen.iter().find(|(other, ..)| member(*other).address == from[0]);
+    let at_seed = replies.iter().filter(|(_, from, _)| from[0] == own).count();
+    assert_eq!(at_seed, 1, "the seed sends one copy to the zone");
+    for (number, from, after_ms) in &replies {
+        let parent = replies.iter().find(|(other, ..)| member(*other).address == from[0]);
         let is_after =
             parent.is_none_or(|(other, _, earlier_ms)| other < number && earlier_ms < after_ms);
-        assert!(is_after, "host {number} asks {from:?} after {after_ms}");
+        assert!(is_after, "host {number} fetches from {from:?} after {after_ms}");
     }
 }
 
 #[test]
-fn one_that_was_sent_on_is_not_sent_on_again() {
+fn a_redirected_host_is_not_redirected_again() {
     let mut seed = seed(1_000);
     for number in 2..90 {
         join(&mut seed, number, NOW);
@@ -250,11 +256,11 @@
     let from = member(91);
     let sender = from.address;
     let effects = seed.handle_message(NOW, Message::Join { from, is_redirected: true }, sender);
-    assert!(matches!(answer_to(91, &effects), Some(Bootstrap::Partial { .. })));
+    assert!(matches!(reply_to(91, &effects), Some(Bootstrap::Partial { .. })));
 }
 
 #[test]
-fn a_seed_behind_a_fast_link_answers_more_itself() {
+fn a_seed_with_a_fast_link_answers_more_hosts_itself() {
     let own = Member { capacity: Capacity { link_mbps: 200, cpu_percent: 50 }, ..member(1) };
     let mut seed = Gossip::new(own, Pcg64Mcg::seed_from_u64(1));
     seed.apply_snapshot(NOW, published(1_000));
