--- a/crates/published/src/gossip/joining/answering.rs
+++ b/crates/published/src/gossip/joining/answering.rs
@@ -26,7 +26,7 @@
 /// Link speed that the limits below assume; they are multiplied for a host with a faster link.
 const REFERENCE_LINK_MBPS: u32 = 20;
 
-/// Number of hosts that are answered here; more are redirected. The answers take a link of
+/// Number of hosts of a group that are answered; more are redirected. The answers take a link of
 /// 20 Mbit/s, or a tenth of a core, 20 ms.
 const MAX_ANSWERED: usize = 32;
 
--- a/crates/published/src/gossip/receiving.rs
+++ b/crates/published/src/gossip/receiving.rs
@@ -131,9 +131,9 @@
     ) -> bool {
         let at_ms = now_ms - update.age_ms;
         let changes = update.changes.clone().unwrap_or_default();
-        let held = self.state.revision();
-        let is_complete = update.after <= held && update.after <= update.revision;
-        let revision = if is_complete { update.revision } else { held };
+        let own_revision = self.state.revision();
+        let is_complete = update.after <= own_revision && update.after <= update.revision;
+        let revision = if is_complete { update.revision } else { own_revision };
         let (state_changes, is_gapless) =
             self.state.apply_changes(at_ms, update.after, revision, changes);
         effects.push(Effect::StateUpdated {
--- a/crates/published/src/members.rs
+++ b/crates/published/src/members.rs
@@ -18,9 +18,9 @@
 /// window of 10 s twice.
 const MEMBER_TIMEOUT_MS: Millis = Millis(60_000);
 
-/// The same for each host of a large fleet. In a fleet of `n` hosts that each send a hello every
-/// 3 s, two hosts hear of each other every `1.5 n` seconds on average; eight such intervals without
-/// a message have a probability of 3 in 10,000.
+/// The same for each host of a large fleet; the greater of the two applies. In a fleet of `n` hosts
+/// that each send a hello every 3 s, two hosts hear of each other every `1.5 n` seconds on average;
+/// eight such intervals without a message have a probability of 3 in 10,000.
 const MEMBER_TIMEOUT_PER_HOST_MS: Millis = Millis(12_000);
 
 /// How long a fleet size stated by a peer counts: until member lists are exchanged.
@@ -102,7 +102,7 @@
     member: Member,
     /// Rendezvous weight of the host as reader.
     weight: u64,
-    heard_ms: Millis,
+    last_heard_ms: Millis,
     read_ms: Option<Millis>,
     /// When it last reported a failed read.
     failed_ms: Option<Millis>,
@@ -179,7 +179,7 @@
         match self.others.get_mut(&member.host) {
             Some(peer) if peer.member.incarnation > member.incarnation => return false,
             Some(peer) if peer.member == member => {
-                peer.heard_ms = now_ms;
+                peer.last_heard_ms = now_ms;
                 return false;
             }
             _ => {}
@@ -188,9 +188,9 @@
         self.leaving.remove(&member.host);
         let former = self.remove(&member.host);
         let peer = match former {
-            Some(peer) => Peer { heard_ms: now_ms, member, ..peer },
+            Some(peer) => Peer { last_heard_ms: now_ms, member, ..peer },
             None => Peer {
-                heard_ms: now_ms,
+                last_heard_ms: now_ms,
                 weight: reader_weight(&member),
                 read_ms: None,
                 failed_ms: None,
@@ -234,7 +234,7 @@
     /// Records that a host has read the source.
     pub fn record_read(&mut self, now_ms: Millis, host: &HostId) {
         if let Some(peer) = self.others.get_mut(host) {
-            peer.heard_ms = now_ms;
+            peer.last_heard_ms = now_ms;
             peer.read_ms = Some(now_ms);
             peer.failed_ms = None;
         }
@@ -243,7 +243,7 @@
     /// Records that a host failed to read the source.
     pub fn record_failed_read(&mut self, now_ms: Millis, host: &HostId) {
         if let Some(peer) = self.others.get_mut(host) {
-            peer.heard_ms = now_ms;
+            peer.last_heard_ms = now_ms;
             peer.failed_ms = Some(now_ms);
         }
     }
@@ -282,14 +282,16 @@
     /// Removing all hosts for it would let this one spend the fleet's budgets alone.
     pub fn expire(&mut self, now_ms: Millis) -> Vec<HostId> {
         let suspended_ms = self.suspension_detector.record_awake(now_ms);
-        self.others.values_mut().for_each(|peer| peer.heard_ms = peer.heard_ms + suspended_ms);
+        self.others
+            .values_mut()
+            .for_each(|peer| peer.last_heard_ms = peer.last_heard_ms + suspended_ms);
         self.leaving.retain(|_, (_, left_ms)| now_ms.since(*left_ms) < LEAVING_MS);
         if now_ms.since(self.stated_fleet.at_ms) > STATED_FLEET_MS {
             self.stated_fleet = StatedFleet::default();
         }
         let each_ms = Millis(MEMBER_TIMEOUT_PER_HOST_MS.0.saturating_mul(self.others.len() as u64));
         let silent_ms = MEMBER_TIMEOUT_MS.max(each_ms);
-        let has_expired = |peer: &Peer| now_ms.since(peer.heard_ms) > silent_ms;
+        let has_expired = |peer: &Peer| now_ms.since(peer.last_heard_ms) > silent_ms;
         let expired: Vec<HostId> = self
             .others
             .iter()
--- a/crates/published/src/reading.rs
+++ b/crates/published/src/reading.rs
@@ -1,10 +1,11 @@
 //! Decides which host reads the source, and when.
 //!
 //! Each read is paid for, so one host reads for all and broadcasts the result. The hosts need not
-//! agree on which: the one with the greatest weight reads, one that sees updates of a better
-//! reader stops, and one whose state was not confirmed for [`MAX_AGE_MS`] reads once for itself
-//! and broadcasts that. So a reader that fails or is cut off is replaced after [`MAX_AGE_MS`] and
-//! the next host's turn, which leaves one of the two seconds within which changes must be in force.
+//! agree on which: the one with the greatest weight reads, a reader that sees updates of one with
+//! a greater weight stops, and a host whose state was not confirmed for [`MAX_AGE_MS`] reads for
+//! itself and broadcasts the result. So a reader that fails or is cut off is replaced after
+//! [`MAX_AGE_MS`] and the next host's turn, which leaves one of the two seconds within which changes
+//! must be in force.
 
 mod start;
 
@@ -62,7 +63,7 @@
     Sample,
     /// Read the first page of a full snapshot.
     FirstPage,
-    /// Read a full snapshot.
+    /// Read a full snapshot, or the pages after the first.
     Snapshot,
     /// Read changes, with a long poll of this length.
     Changes(Millis),
--- a/crates/published/src/reading/start.rs
+++ b/crates/published/src/reading/start.rs
@@ -6,7 +6,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::num::NonZeroU32;
 
-/// How long such a host waits for a seed before it reads a sample: a round trip, with a slow seed.
+/// How long a host waits for a seed before it reads a sample: a round trip, with a slow seed.
 pub(super) const SAMPLE_WAIT_MS: Millis = Millis(20);
 
 /// How long a seed that has just started waits for another seed's state before it reads: a round
@@ -20,8 +20,8 @@
 /// Upper bound of an additional wait that each host draws at random.
 const START_SPREAD_MS: u64 = 40;
 
-/// How many times the transfer of a page over its own link a host waits besides. Many hosts behind
-/// slow links that read a page at once would fill the source's link.
+/// Additional wait, as a multiple of the transfer time of a page over the host's own link. Many
+/// hosts with slow links that read a page at once would fill the source's link.
 const START_WAIT_PAGES: u64 = 4;
 
 /// Transfer time of a page above which a host with waiting requests reads a small sample of the
--- a/crates/published/src/state.rs
+++ b/crates/published/src/state.rs
@@ -1,9 +1,9 @@
 //! The state that this host knows to be published.
 //!
 //! Full snapshots and changes are merged in, read by this host or sent by peers, in any order
-//! and more than once. The entry of each key is replaced only by one of a newer revision. A
-//! removal takes effect at once, except just after an outage of the source: entries expire
-//! there while instances can't renew them, so it then waits for [`REREGISTRATION_GRACE_MS`].
+//! and more than once. The entry of each key is replaced only by a newer one. A removal takes
+//! effect at once, except just after an outage of the source: entries expire there while
+//! instances can't renew them, so it then waits for [`REREGISTRATION_GRACE_MS`].
 
 mod bootstrap;
 mod catch_up;
@@ -78,7 +78,7 @@
         self.confirmed_ms.map(|at_ms| now_ms.since(at_ms))
     }
 
-    /// Digest of the routing and all entries. It differs where two hosts have the same revision but
+    /// Digest of the routing and all entries. It reveals that two hosts with the same revision have
     /// different entries.
     ///
     /// Lapsed entries don't count: hosts drop them at different times.
@@ -159,8 +159,8 @@
 
     /// Merges all changes after `after` up to `revision`, as known at `at_ms`.
     ///
-    /// The flag returned is false if changes before `after` are missing here. All changes are
-    /// applied nevertheless, but the gap remains until a full snapshot is merged.
+    /// The flag returned is false if changes before `after`, or the base of a patch, are missing
+    /// here. The other changes are applied nevertheless, but the gap remains.
     pub fn apply_changes(
         &mut self,
         at_ms: Millis,
@@ -200,15 +200,15 @@
 
     /// Removes lapsed entries after their grace period, and old tombstones.
     pub fn expire(&mut self, now_ms: Millis) -> Vec<StateChange> {
-        let is_over = |lapsed: &Lapsed| lapsed.until_ms <= now_ms;
-        let over: Vec<Removal> = self
+        let is_due = |lapsed: &Lapsed| lapsed.until_ms <= now_ms;
+        let due: Vec<Removal> = self
             .lapsed
             .iter()
-            .filter(|(_, lapsed)| is_over(lapsed))
+            .filter(|(_, lapsed)| is_due(lapsed))
             .map(|(id, lapsed)| lapsed.removal(id))
             .collect();
         let mut state_changes = Vec::new();
-        for removal in over {
+        for removal in due {
             self.lapsed.remove(&removal.upstream);
             self.drop_entry(now_ms, removal, &mut state_changes);
         }
--- a/crates/published/src/state/entries.rs
+++ b/crates/published/src/state/entries.rs
@@ -1,5 +1,5 @@
-//! Upstreams' entries: each is replaced only by a newer revision, and a removal leaves a tombstone
-//! for a while, so that an older write that arrives late doesn't bring the entry back.
+//! Upstreams' entries: each is replaced only by a newer one, and a removal leaves a tombstone for a
+//! while, so that an older write that arrives late doesn't bring the entry back.
 
 use super::{PublishedState, REREGISTRATION_GRACE_MS};
 use crate::{
