--- a/crates/dispatch/src/attempts.rs
+++ b/crates/dispatch/src/attempts.rs
@@ -1,59 +1,59 @@
-//! What follows when a sending of a request came to its end.
+//! Decides what follows an attempt: deliver the response, retry or refuse.
 //!
-//! The rules rest on one question: is it proven that the request did not run? Only an
-//! upstream's declaration proves it, or that no byte of the request left. An answer that
-//! promises "not run" without that proof is never passed on.
+//! The rules depend on whether it is proven that the request did not run. Only an upstream's
+//! declaration proves it, or that no byte of the request was sent. A response whose status promises
+//! "not run" without that proof is never delivered.
 
 use domain::Millis;
 use published::Repeat;
 use serde::Serialize;
 
-/// Less time than this is not worth another sending.
-const MIN_LEFT_MS: Millis = Millis(20);
+/// Less time than this is not worth another attempt.
+const MIN_RETRY_TIME_MS: Millis = Millis(20);
 
-/// Sendings that surely did not run may go on past the route's attempts by this many.
-const MORE_AFTER_SHED: u32 = 2;
+/// Attempts beyond the route's limit for a request that provably did not run.
+const EXTRA_ATTEMPTS_IF_NOT_RUN: u32 = 2;
 
-/// First span that a refused caller is told to stay away; jittered by the caller of this crate.
-const RETRY_AFTER_MS: Millis = Millis(60);
+/// `Retry-After` where nothing better is known; the caller of this crate adds jitter.
+const DEFAULT_RETRY_AFTER_MS: Millis = Millis(60);
 
-/// How a sending ended.
+/// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AttemptResult {
-    /// A whole answer came.
+    /// The whole response arrived.
     Answered(ResponseSummary),
-    /// No byte of the request left.
+    /// No byte of the request was sent.
     NotSent,
-    /// The request left, at least in part, and no whole answer came.
+    /// The request was sent, at least in part, and no whole response arrived.
     Broken,
 }
 
-/// What a whole answer says.
+/// What decides about a whole response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct ResponseSummary {
     /// HTTP status.
     pub status: u16,
     /// The upstream declared that it did not run the request.
     pub not_run: bool,
-    /// It bears the mark of an answer that an upstream made.
+    /// It carries the seal header, by which an upstream marks the responses that it made itself.
     pub is_sealed: bool,
 }
 
-/// Where a request stands when a sending ended.
+/// State of a request when an attempt has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptState {
     /// Whether it may run more than once.
     pub repeat: Repeat,
-    /// Upstreams that it may have run on, this sending included.
+    /// Upstreams that it may have run on, including in this attempt.
     pub may_have_run: u32,
-    /// Sendings so far.
+    /// Attempts so far.
     pub attempts_made: u32,
-    /// Most upstreams that it may run on.
+    /// On how many upstreams it may run at most.
     pub max_attempts: u32,
-    /// Time until the caller needs its final answer.
+    /// Time until the final response is due.
     pub left_ms: Millis,
-    /// Whether another sending counts as a repeat, and none is left.
+    /// Whether another attempt counts as a retry and the retry budget is exhausted.
     pub is_budget_spent: bool,
 }
 
@@ -61,27 +61,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NextStep {
-    /// Pass the answer on as it is.
+    /// Deliver the response unchanged.
     Deliver,
-    /// Send it again, elsewhere.
+    /// Send the request to another upstream.
     #[serde(rename = "send-again")]
     Retry,
-    /// Give it up.
+    /// Give up.
     Refuse(Refusal),
 }
 
-/// Final answer of the host itself.
+/// Final response made by the host itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Refusal {
-    /// Why.
+    /// Reason.
     pub cause: Cause,
     /// Whether it is proven that the request did not run.
     pub is_not_run: bool,
-    /// When to come back, for a request that did not run.
+    /// When the caller may retry, for a request that did not run.
     pub retry_after_ms: Option<Millis>,
 }
 
-/// Why a request was given up.
+/// Why a request was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
@@ -89,36 +89,36 @@
     NotConfigured,
     /// No route matches.
     NoRoute,
-    /// The request itself is faulty.
+    /// The request is malformed.
     BadRequest,
-    /// The head is over the limit.
+    /// The head exceeds the size limit.
     HeadTooLarge,
-    /// The body is over the limit.
+    /// The body exceeds the size limit.
     BodyTooLarge,
-    /// The request did not arrive whole in time.
+    /// The request did not arrive completely in time.
     SlowRequest,
-    /// No upstream takes work.
+    /// No upstream accepts requests.
     NoUpstream,
-    /// No upstream takes work, as the availability zones of those that are there are evacuated.
+    /// No upstream accepts requests, as the availability zones of the existing ones are evacuated.
     ZonesEvacuated,
-    /// No upstream could do it in time.
+    /// No upstream could answer in time.
     Overloaded,
-    /// All upstreams take a rate of requests only, and it is used up.
+    /// All upstreams are rate-limited, and the limits are used up.
     UpstreamsLimited,
     /// Upstreams refused it, each with proof that it did not run.
     UpstreamsRefused,
-    /// The upstream broke off, or spoilt its answer.
+    /// The connection to the upstream broke, or its response was invalid.
     UpstreamFailed,
-    /// Upstreams crash under it.
+    /// The request is quarantined, as upstreams crash under it.
     CrashesUpstreams,
-    /// The time was over before it was sent.
+    /// The deadline passed before it was sent.
     Expired,
-    /// The time was over while an upstream had it.
+    /// The deadline passed while an upstream had it.
     TimedOut,
 }
 
 impl Cause {
-    /// HTTP status of the final answer.
+    /// HTTP status of the final response.
     pub fn status(self) -> u16 {
         match self {
             Cause::NotConfigured | Cause::NoUpstream | Cause::UpstreamsRefused => 503,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Its name in headers, logs and metrics.
+    /// Name in headers, logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Cause::NotConfigured => "not-configured",
@@ -157,67 +157,69 @@
 }
 
 impl Refusal {
-    /// A refusal of a request that surely did not run.
+    /// For a request that provably did not run.
     pub fn not_run(cause: Cause) -> Refusal {
-        let retry_after_ms = (cause.status() == 503).then_some(RETRY_AFTER_MS);
+        let retry_after_ms = (cause.status() == 503).then_some(DEFAULT_RETRY_AFTER_MS);
         Refusal { cause, is_not_run: true, retry_after_ms }
     }
 
-    /// A refusal for want of room, which there will be in so long.
+    /// For lack of capacity, which is expected again after `retry_after_ms`.
     pub fn overloaded(retry_after_ms: Millis) -> Refusal {
         let retry_after_ms = Some(retry_after_ms);
         Refusal { cause: Cause::Overloaded, is_not_run: true, retry_after_ms }
     }
 
-    /// A refusal since upstreams take a rate only, until they take the next request.
+    /// For exhausted rate limits, until upstreams accept the next request.
     pub fn rate_limited(free_in_ms: Millis) -> Refusal {
-        let retry_after_ms = Some(free_in_ms.max(RETRY_AFTER_MS));
+        let retry_after_ms = Some(free_in_ms.max(DEFAULT_RETRY_AFTER_MS));
         Refusal { cause: Cause::UpstreamsLimited, is_not_run: true, retry_after_ms }
     }
 
-    /// A refusal of a request that is held back, until it may be tried again.
+    /// For a quarantined request, until it may be tried again.
     pub fn quarantined(for_ms: Millis) -> Refusal {
         Refusal { cause: Cause::CrashesUpstreams, is_not_run: true, retry_after_ms: Some(for_ms) }
     }
 
-    /// The final answer to a request that may have run.
+    /// For a request that may have run.
     pub fn may_have_run(cause: Cause) -> Refusal {
         Refusal { cause, is_not_run: false, retry_after_ms: None }
     }
 }
 
-/// Whether the request surely did not run where it was sent.
-pub fn is_not_run(end: AttemptResult) -> bool {
-    match end {
+/// Whether the request provably did not run in this attempt.
+pub fn is_not_run(result: AttemptResult) -> bool {
+    match result {
         AttemptResult::Answered(response) => response.not_run,
         AttemptResult::NotSent => true,
         AttemptResult::Broken => false,
     }
 }
 
-/// Whether the upstream ran the request to its end, and did not fail it.
+/// Whether the upstream ran the request and did not fail.
 pub fn was_served(response: ResponseSummary) -> bool {
     response.is_sealed && !response.not_run && response.status < 500
 }
 
-/// What follows.
-pub fn next_step(state: AttemptState, end: AttemptResult) -> NextStep {
-    match end {
+/// Decides what follows an attempt.
+pub fn next_step(state: AttemptState, result: AttemptResult) -> NextStep {
+    match result {
         AttemptResult::Answered(response) if is_final(response) => NextStep::Deliver,
-        AttemptResult::Answered(response) if response.not_run => after_not_run(state),
-        AttemptResult::NotSent => after_not_run(state),
-        AttemptResult::Answered(response) if is_upstream_failure(response) => match again(state) {
-            true => NextStep::Retry,
-            false => NextStep::Deliver,
-        },
-        AttemptResult::Answered(_) | AttemptResult::Broken => match again(state) {
+        AttemptResult::Answered(response) if response.not_run => step_after_not_run(state),
+        AttemptResult::NotSent => step_after_not_run(state),
+        AttemptResult::Answered(response) if is_upstream_failure(response) => {
+            match may_rerun(state) {
+                true => NextStep::Retry,
+                false => NextStep::Deliver,
+            }
+        }
+        AttemptResult::Answered(_) | AttemptResult::Broken => match may_rerun(state) {
             true => NextStep::Retry,
             false => NextStep::Refuse(Refusal::may_have_run(Cause::UpstreamFailed)),
         },
     }
 }
 
-/// A success with its seal, or an answer that is about the request itself: it is passed on as it is.
+/// Whether to deliver it in any case: a sealed success, or a response about the request itself.
 pub fn is_final(response: ResponseSummary) -> bool {
     match response.status {
         200..=299 => response.is_sealed,
@@ -228,17 +230,17 @@
     }
 }
 
-/// A failure that an upstream made after it ran the request; the others promise "not run".
+/// Whether the upstream failed after it ran the request; other failures promise "not run".
 pub fn is_upstream_failure(response: ResponseSummary) -> bool {
     !response.not_run && response.is_sealed && response.status >= 500 && response.status != 503
 }
 
-fn after_not_run(state: AttemptState) -> NextStep {
-    let may_send = state.attempts_made < state.max_attempts + MORE_AFTER_SHED
+fn step_after_not_run(state: AttemptState) -> NextStep {
+    let may_retry = state.attempts_made < state.max_attempts + EXTRA_ATTEMPTS_IF_NOT_RUN
         && state.may_have_run < state.max_attempts.max(1)
-        && state.left_ms > MIN_LEFT_MS
+        && state.left_ms > MIN_RETRY_TIME_MS
         && !state.is_budget_spent;
-    match may_send {
+    match may_retry {
         true => NextStep::Retry,
         false if state.may_have_run > 0 => {
             NextStep::Refuse(Refusal::may_have_run(Cause::UpstreamFailed))
@@ -247,9 +249,9 @@
     }
 }
 
-fn again(state: AttemptState) -> bool {
+fn may_rerun(state: AttemptState) -> bool {
     state.repeat == Repeat::Idempotent
         && state.may_have_run < state.max_attempts
-        && state.left_ms > MIN_LEFT_MS
+        && state.left_ms > MIN_RETRY_TIME_MS
         && !state.is_budget_spent
 }
