--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,11 +1,10 @@
-//! Where a request goes, what may be repeated, and when it is given up.
+//! Decides where a request goes, whether it is retried, and when it is refused.
 //!
-//! Pure decisions: what upstreams told, the time and a seeded generator go in, choices
-//! come out. [`UpstreamSet`] is the aggregate of what is known of upstreams;
-//! [`scheduler`] places the requests of many hosts from one queue;
-//! [`quarantine`] holds back what crashes upstreams; [`backpressure`] is what upstreams say of the
-//! load that they bear; [`attempts`] holds the rules of repeating; [`budget`] the host's part of what the
-//! whole fleet may spend.
+//! The crate does no I/O: decisions depend on what upstreams reported, the time and a seeded random
+//! generator. [`UpstreamSet`] holds the state of all upstreams; [`scheduler`] places the requests
+//! of many hosts from one queue; [`quarantine`] holds back requests that crash upstreams;
+//! [`backpressure`] tracks what upstreams state about their load; [`attempts`] has the rules of
+//! retrying; [`budget`] limits this host's part of what the fleet may spend on retries and probes.
 
 pub mod attempts;
 pub mod backpressure;
--- a/crates/dispatch/src/load.rs
+++ b/crates/dispatch/src/load.rs
@@ -1,30 +1,29 @@
-//! What an upstream tells of its load.
+//! Load reports of upstreams.
 
 use domain::Slots;
 use serde::{Deserialize, Serialize};
 
-/// Load of an upstream at the moment it answered.
+/// Load of an upstream when it answered.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests that it works on.
+    /// Requests being processed.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests queued at the upstream.
     pub waiting: u32,
-    /// Requests that it can work on at once.
+    /// Requests that it can process at once.
     pub slots: Slots,
-    /// How long work takes there at this moment, in percent of the usual time.
+    /// Service time there at that moment, in percent of the baseline.
     pub slowness_percent: u32,
 }
 
-/// Percent that stands for the usual working time.
-const USUAL_PERCENT: f64 = 100.0;
+const BASELINE_PERCENT: f64 = 100.0;
 
-/// Less slowness than this is taken for a fault of what told it.
-pub(crate) const LEAST_SLOWNESS: f64 = 0.1;
+/// Lower slowness is taken for a faulty report.
+pub(crate) const MIN_SLOWNESS: f64 = 0.1;
 
 impl LoadReport {
-    /// How long work takes there, in times of the usual.
+    /// Service time there, in multiples of the baseline.
     pub fn slowness(&self) -> f64 {
-        f64::from(self.slowness_percent) / USUAL_PERCENT
+        f64::from(self.slowness_percent) / BASELINE_PERCENT
     }
 }
--- a/crates/dispatch/src/probing.rs
+++ b/crates/dispatch/src/probing.rs
@@ -1,20 +1,20 @@
-//! Whom a host asks by itself, and when it stops asking.
+//! Limits of a host that probes upstreams by itself, without a scheduler.
 
 use crate::upstream_set::Reach;
 
-/// Upstreams that are asked at once before a request is sent. With three the credit of a
-/// quiet day is 0.97; a fourth gained nothing, random choice earned 0.62 to 0.70.
+/// Upstreams that are probed at once before a request is sent.
 pub const PROBES_PER_ROUND: usize = 3;
 
-/// Cost up to which nobody else is asked.
+/// Cost up to which no further round of probes is made.
 pub const GOOD_ENOUGH_COST: f64 = 2.0;
 
-/// Cost at which no other answer is waited for: idle and not slowed.
+/// Cost at which pending probes are not waited for: an idle upstream at normal speed.
 pub const IMMEDIATE_COST: f64 = 1.2;
 
-/// How many are asked in each round: the own zone, then mostly others.
+/// Probes of each round: the local zone first, then mostly other zones.
 pub const PROBE_ROUNDS: [&[(usize, Reach)]; 2] =
     [&[(PROBES_PER_ROUND, Reach::Near)], &[(PROBES_PER_ROUND - 1, Reach::Far), (1, Reach::Near)]];
 
-/// What makes an upstream that says it is unwell the last resort: its word may be false.
+/// Added for an upstream that reports itself unhealthy. It stays the last resort, as the report may
+/// be false.
 pub const UNHEALTHY_COST: f64 = 50.0;
--- a/crates/dispatch/src/split.rs
+++ b/crates/dispatch/src/split.rs
@@ -1,27 +1,27 @@
-//! Split routes: each part gets its share of the requests.
+//! Distributes the requests of split routes by weight.
 //!
-//! Smooth weighted round robin keeps shares exact over short times. It starts at a random
-//! place, so that many hosts with few requests each don't all begin with the same part.
+//! Smooth weighted round robin keeps the shares exact over short periods. It starts at a random
+//! position, so that many hosts with few requests each don't all begin with the same destination.
 
 use domain::{FastMap, ServiceName};
 use published::Destination;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-/// Where each split route stands.
+/// Round-robin state of each split route.
 #[derive(Debug, Default)]
 pub struct SplitTable {
-    routes: FastMap<String, Turn>,
+    routes: FastMap<String, SplitState>,
 }
 
 #[derive(Debug)]
-struct Turn {
+struct SplitState {
     split: Vec<Destination>,
     credit: Vec<f64>,
 }
 
 impl SplitTable {
-    /// The service of a route's next request; none if the split is empty.
+    /// Service for a route's next request; `None` if the split is empty.
     pub fn next_service(
         &mut self,
         route: &str,
@@ -31,35 +31,35 @@
         if let [only] = split {
             return Some(only.service.clone());
         }
-        if !self.routes.get(route).is_some_and(|turn| turn.split == split) {
-            self.routes.insert(route.to_owned(), Turn::new(split, rng));
+        if !self.routes.get(route).is_some_and(|state| state.split == split) {
+            self.routes.insert(route.to_owned(), SplitState::new(split, rng));
         }
-        self.routes.get_mut(route)?.take()
+        self.routes.get_mut(route)?.pick()
     }
 
-    /// Forgets routes that are not in force any more.
+    /// Drops the state of routes that are no longer in force.
     pub fn retain(&mut self, is_in_force: impl Fn(&str) -> bool) {
         self.routes.retain(|route, _| is_in_force(route));
     }
 }
 
-impl Turn {
-    fn new(split: &[Destination], rng: &mut Pcg64Mcg) -> Turn {
+impl SplitState {
+    fn new(split: &[Destination], rng: &mut Pcg64Mcg) -> SplitState {
         let weights: f64 = split.iter().map(|part| f64::from(part.weight)).sum();
         let credit = split.iter().map(|_| rng.random::<f64>() * weights).collect();
-        Turn { split: split.to_vec(), credit }
+        SplitState { split: split.to_vec(), credit }
     }
 
-    fn take(&mut self) -> Option<ServiceName> {
+    fn pick(&mut self) -> Option<ServiceName> {
         let weights: f64 = self.split.iter().map(|part| f64::from(part.weight)).sum();
         for (credit, part) in self.credit.iter_mut().zip(&self.split) {
             *credit += f64::from(part.weight);
         }
-        let has_weight = |&at: &usize| self.split[at].weight > 0;
-        let at = (0..self.split.len())
+        let has_weight = |&index: &usize| self.split[index].weight > 0;
+        let index = (0..self.split.len())
             .filter(has_weight)
             .max_by(|&a, &b| self.credit[a].total_cmp(&self.credit[b]))?;
-        self.credit[at] -= weights;
-        Some(self.split[at].service.clone())
+        self.credit[index] -= weights;
+        Some(self.split[index].service.clone())
     }
 }
