--- a/crates/dispatch/src/scheduler.rs
+++ b/crates/dispatch/src/scheduler.rs
@@ -8,9 +8,9 @@
 //! directly from their host to the upstream.
 //!
 //! Any host can schedule: all it needs is the state of the upstreams, which responses and probes
-//! bring within milliseconds. Two hosts that schedule the same service see each other's requests as
-//! foreign load. So there is no election; a host whose scheduler doesn't respond submits to the
-//! next host in order, or probes upstreams by itself.
+//! bring within milliseconds. Two hosts that schedule the same service see each other's requests in
+//! the load that upstreams report. So there is no election; a host whose scheduler doesn't respond
+//! submits to the next host in order, or probes upstreams by itself.
 
 mod cell;
 mod decision;
@@ -174,7 +174,7 @@
         };
         upstreams.record_service_time(
             &placed.upstream,
-            &ServiceTimeSample { spent: placed.occupancy, slowness },
+            &ServiceTimeSample { occupancy: placed.occupancy, slowness },
         );
     }
 
--- a/crates/dispatch/src/scheduler/forecast.rs
+++ b/crates/dispatch/src/scheduler/forecast.rs
@@ -5,7 +5,7 @@
 use super::request::QueuedRequest;
 use crate::backpressure::LONGEST_BACKOFF_MS;
 use crate::fleet_rate::{FleetRate, Lent, RateBudget};
-use crate::load::LEAST_SLOWNESS;
+use crate::load::MIN_SLOWNESS;
 use crate::upstream_set::UpstreamSet;
 use domain::{Millis, UpstreamId};
 
@@ -55,7 +55,7 @@
         let throughput_per_ms = |id: &UpstreamId| {
             let (known, curve) = (upstreams.get(id)?, upstreams.curve(id)?);
             let best = f64::from(curve.best_concurrency());
-            let slowness = known.slowness(now_ms, load).max(LEAST_SLOWNESS);
+            let slowness = known.slowness(now_ms, load).max(MIN_SLOWNESS);
             let done = best * curve.speed(best) / slowness / baseline_ms?.as_f64().max(1.0);
             let allowed_per_ms =
                 |limit: FleetRate| limit.rate.0 * optimistic_share(known, now_ms, lent) / 1_000.0;
--- a/crates/dispatch/src/subset.rs
+++ b/crates/dispatch/src/subset.rs
@@ -1,35 +1,34 @@
-//! Which upstreams a host asks and connects to.
+//! Chooses which upstreams a host probes and connects to.
 //!
-//! Where hundreds of hosts face hundreds of upstreams, not each host can keep connections
-//! to each upstream, and health checks that are shared out over all hosts are worth nothing
-//! to any. So each host has a subset of a service's upstreams, those of its own
-//! availability zone first, chosen by rendezvous hashing: hosts that come or go move few,
-//! and an upstream that joins is in the subsets of some hosts at once.
+//! With hundreds of hosts and upstreams, a host can't keep connections to all upstreams, and the
+//! allowed probes shared by all hosts would leave each host's state outdated. So each host has a
+//! subset of a service's upstreams, mostly of its own availability zone, chosen by rendezvous
+//! hashing: hosts that join or leave change few subsets, and a new upstream is at once in those of
+//! some hosts.
 
 use crate::upstream::Known;
 use domain::{FastMap, FastSet, HostId, UpstreamId, ZoneName};
 use published::{Eligibility, Preferred, preferred};
 
-/// Up to so many upstreams of a service, a host's subset is all of them.
+/// Up to this many upstreams, a host's subset of a service is all of them.
 pub const FULL_SUBSET_MAX: usize = 20;
 
-/// Upstreams of its own availability zone in a host's subset of a service. Three are asked
-/// at a time, so there have to be some more to choose from; each costs two connections.
+/// Upstreams of the local zone in a subset: more than one round of probes, so that there is a
+/// choice.
 pub const LOCAL_ZONE_UPSTREAMS: usize = 8;
 
-/// Upstreams of other zones in it, for what the own zone has no room for. Without them
-/// requests queued at full upstreams while other zones' were idle: 0.80 of the credit.
+/// Upstreams of other zones in a subset, used when the local zone is full.
 pub const OTHER_ZONE_UPSTREAMS: usize = 4;
 
-/// How many times as many hosts as there are share what is asked outside of subsets.
-const OUTSIDE: f64 = 8.0;
+/// Upstreams outside of the subsets count as probed by this many times the number of hosts.
+const OUTSIDE_SUBSET_FACTOR: f64 = 8.0;
 
-/// Hosts that share an upstream's health checks.
+/// Number of hosts that probe upstreams.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FleetSize {
     /// All hosts.
     pub hosts: u32,
-    /// Those in this host's availability zone.
+    /// Hosts in this host's availability zone.
     pub hosts_in_zone: u32,
 }
 
@@ -49,7 +48,7 @@
         upstreams: &[UpstreamId],
         known: &FastMap<UpstreamId, Known>,
     ) -> Subset {
-        // What is evacuated would take the place of what can be used.
+        // Evacuated upstreams would take the place of usable ones.
         let is_usable = |known: &&Known| known.eligibility != Eligibility::ZoneEvacuated;
         let usable = || upstreams.iter().filter_map(|id| known.get(id)).filter(is_usable);
         let entries = || usable().map(|known| &*known.entry);
@@ -64,34 +63,36 @@
         Subset { members, upstreams: usable_upstreams, upstreams_in_zone }
     }
 
-    /// Whether the host asks this one by preference.
+    /// Whether the upstream is in the subset.
     pub fn contains(&self, id: &UpstreamId) -> bool {
         self.members.contains(id)
     }
 
-    /// About how many hosts of its own availability zone share those of an upstream there.
+    /// Approximate number of hosts of this availability zone that probe an upstream there.
     pub fn probing_hosts_in_zone(&self, fleet: FleetSize) -> f64 {
-        let near = f64::from(fleet.hosts_in_zone.max(1));
+        let local_hosts = f64::from(fleet.hosts_in_zone.max(1));
         let most =
             if self.upstreams <= FULL_SUBSET_MAX { FULL_SUBSET_MAX } else { LOCAL_ZONE_UPSTREAMS };
-        near * (most as f64 / self.upstreams_in_zone.max(1) as f64).min(1.0)
+        local_hosts * (most as f64 / self.upstreams_in_zone.max(1) as f64).min(1.0)
     }
 
-    /// About how many hosts share the health checks of an upstream.
+    /// Approximate number of hosts that probe an upstream.
     pub fn probing_hosts(&self, id: &UpstreamId, fleet: FleetSize) -> f64 {
         let hosts = f64::from(fleet.hosts.max(1));
-        let near = f64::from(fleet.hosts_in_zone.clamp(1, fleet.hosts.max(1)));
-        let part = |most: usize, of: usize| (most as f64 / of.max(1) as f64).min(1.0);
-        let is_all = self.upstreams <= FULL_SUBSET_MAX;
+        let local_hosts = f64::from(fleet.hosts_in_zone.clamp(1, fleet.hosts.max(1)));
+        let covered_share = |most: usize, of: usize| (most as f64 / of.max(1) as f64).min(1.0);
+        let is_full_subset = self.upstreams <= FULL_SUBSET_MAX;
         match self.contains(id) {
-            false => hosts * OUTSIDE,
-            true if is_all => hosts,
+            false => hosts * OUTSIDE_SUBSET_FACTOR,
+            true if is_full_subset => hosts,
             true => {
-                let near_part = near * part(LOCAL_ZONE_UPSTREAMS, self.upstreams_in_zone);
-                // Zones whose own upstreams are few fill up from all others.
+                let local_part =
+                    local_hosts * covered_share(LOCAL_ZONE_UPSTREAMS, self.upstreams_in_zone);
+                // Subsets with few upstreams of the local zone are filled up from the other zones.
                 let spare = LOCAL_ZONE_UPSTREAMS.saturating_sub(self.upstreams_in_zone);
-                let far_part = hosts * part(OTHER_ZONE_UPSTREAMS + spare, self.upstreams);
-                (near_part + far_part).min(hosts)
+                let other_part =
+                    hosts * covered_share(OTHER_ZONE_UPSTREAMS + spare, self.upstreams);
+                (local_part + other_part).min(hosts)
             }
         }
     }
--- a/crates/dispatch/src/upstream.rs
+++ b/crates/dispatch/src/upstream.rs
@@ -7,7 +7,7 @@
 
 use crate::LoadReport;
 use crate::cold::{ToldCold, Warmth};
-use crate::service_load::{ServiceLoad, told_others};
+use crate::service_load::{ServiceLoad, other_requests};
 use domain::Millis;
 use published::{Eligibility, Entry, Revision, RunStart, Upstream};
 use serde::{Deserialize, Serialize};
@@ -194,7 +194,7 @@
     /// It told its load.
     pub fn note_report(&mut self, now_ms: Millis, report: LoadReport) {
         self.report = Some((report, now_ms));
-        self.others = told_others(&report, self.open);
+        self.others = other_requests(&report, self.open);
     }
 
     /// It answered when asked.
--- a/crates/dispatch/src/upstream_set.rs
+++ b/crates/dispatch/src/upstream_set.rs
@@ -64,7 +64,7 @@
             known.note_entry(now_ms, entry, eligibility(published, &known, &self.backpressure));
             let service = self.services.entry(entry.value.service.clone()).or_default();
             service.upstreams.push(id.clone());
-            service.grow_curve(entry.value.slots);
+            service.ensure_curve(entry.value.slots);
             self.known.insert(id, known);
         }
         if !self.known.is_empty() {
