--- a/crates/dispatch/src/attempts.rs
+++ b/crates/dispatch/src/attempts.rs
@@ -5,7 +5,7 @@
 //! "not run" without that proof is never delivered.
 
 use domain::Millis;
-use published::Repeat;
+use published::Idempotency;
 use serde::Serialize;
 
 /// Less time than this is not worth another attempt.
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptState {
     /// Whether it may run more than once.
-    pub repeat: Repeat,
+    pub repeat: Idempotency,
     /// Upstreams that it may have run on, including in this attempt.
     pub may_have_run: u32,
     /// Attempts so far.
@@ -250,7 +250,7 @@
 }
 
 fn may_rerun(state: AttemptState) -> bool {
-    state.repeat == Repeat::Idempotent
+    state.repeat == Idempotency::Idempotent
         && state.may_have_run < state.max_attempts
         && state.left_ms > MIN_RETRY_TIME_MS
         && !state.is_budget_spent
--- a/crates/dispatch/src/subset.rs
+++ b/crates/dispatch/src/subset.rs
@@ -8,7 +8,7 @@
 
 use crate::upstream::Known;
 use domain::{FastMap, FastSet, HostId, UpstreamId, ZoneName};
-use published::{Eligibility, Preferred, preferred};
+use published::{Eligibility, PreferredCounts, preferred_upstreams};
 
 /// Up to this many upstreams, a host's subset of a service is all of them.
 pub const FULL_SUBSET_MAX: usize = 20;
@@ -55,10 +55,10 @@
         let usable_upstreams = usable().count();
         let upstreams_in_zone = entries().filter(|entry| entry.availability_zone == *zone).count();
         let most = match usable_upstreams <= FULL_SUBSET_MAX {
-            true => Preferred { near: FULL_SUBSET_MAX, far: FULL_SUBSET_MAX },
-            false => Preferred { near: LOCAL_ZONE_UPSTREAMS, far: OTHER_ZONE_UPSTREAMS },
+            true => PreferredCounts { local_zone: FULL_SUBSET_MAX, other_zones: FULL_SUBSET_MAX },
+            false => PreferredCounts { local_zone: LOCAL_ZONE_UPSTREAMS, other_zones: OTHER_ZONE_UPSTREAMS },
         };
-        let chosen = preferred(host, zone, most, entries());
+        let chosen = preferred_upstreams(host, zone, most, entries());
         let members = chosen.into_iter().map(|entry| entry.id.clone()).collect();
         Subset { members, upstreams: usable_upstreams, upstreams_in_zone }
     }
--- a/crates/dispatch/tests/attempts.rs
+++ b/crates/dispatch/tests/attempts.rs
@@ -5,7 +5,7 @@
     AttemptResult, AttemptState, Cause, NextStep, Refusal, ResponseSummary, is_not_run, next_step,
 };
 use domain::Millis;
-use published::Repeat;
+use published::Idempotency;
 use rstest::rstest;
 
 fn answered(status: u16) -> AttemptResult {
@@ -20,7 +20,7 @@
     AttemptResult::Answered(ResponseSummary { status, not_run: true, is_sealed: false })
 }
 
-fn state(repeat: Repeat) -> AttemptState {
+fn state(repeat: Idempotency) -> AttemptState {
     AttemptState {
         repeat,
         may_have_run: 1,
@@ -41,7 +41,7 @@
     }
 }
 
-fn check(repeat: Repeat, end: AttemptResult, wanted: &str) {
+fn check(repeat: Idempotency, end: AttemptResult, wanted: &str) {
     let mut state = state(repeat);
     if is_not_run(end) {
         state.may_have_run = 0;
@@ -67,14 +67,14 @@
 #[case::not_sent(AttemptResult::NotSent, "again", "again")]
 #[case::broken(AttemptResult::Broken, "again", "unknown")]
 fn follows(#[case] end: AttemptResult, #[case] idempotent: &str, #[case] at_most_once: &str) {
-    check(Repeat::Idempotent, end, idempotent);
-    check(Repeat::AtMostOnce, end, at_most_once);
+    check(Idempotency::Idempotent, end, idempotent);
+    check(Idempotency::AtMostOnce, end, at_most_once);
 }
 
 #[rstest]
-#[case::no_budget(AttemptState { is_budget_spent: true, ..state(Repeat::Idempotent) })]
-#[case::no_attempt_left(AttemptState { may_have_run: 2, ..state(Repeat::Idempotent) })]
-#[case::no_time_left(AttemptState { left_ms: Millis(5), ..state(Repeat::Idempotent) })]
+#[case::no_budget(AttemptState { is_budget_spent: true, ..state(Idempotency::Idempotent) })]
+#[case::no_attempt_left(AttemptState { may_have_run: 2, ..state(Idempotency::Idempotent) })]
+#[case::no_time_left(AttemptState { left_ms: Millis(5), ..state(Idempotency::Idempotent) })]
 fn nothing_is_sent_again_without_leave(#[case] state: AttemptState) {
     assert_eq!(name(next_step(state, AttemptResult::Broken)), "unknown");
     assert_eq!(name(next_step(state, answered(500))), "deliver");
@@ -83,7 +83,7 @@
 
 #[test]
 fn what_was_shed_everywhere_is_told_as_not_run_with_a_time_to_come_back() {
-    for repeat in [Repeat::Idempotent, Repeat::AtMostOnce] {
+    for repeat in [Idempotency::Idempotent, Idempotency::AtMostOnce] {
         let state = AttemptState { may_have_run: 0, attempts_made: 4, ..state(repeat) };
         let NextStep::Refuse(refusal) = next_step(state, shed(503)) else { panic!("not refused") };
         assert_eq!(refusal.cause, Cause::UpstreamsRefused);
@@ -95,7 +95,7 @@
 
 #[test]
 fn what_may_have_run_once_is_never_told_as_not_run() {
-    let state = AttemptState { attempts_made: 4, ..state(Repeat::Idempotent) };
+    let state = AttemptState { attempts_made: 4, ..state(Idempotency::Idempotent) };
     let NextStep::Refuse(refusal) = next_step(state, shed(503)) else { panic!("not refused") };
     assert!(!refusal.is_not_run);
     assert_eq!(refusal.cause.status(), 502);
