--- a/crates/dispatch/src/scheduler/decision.rs
+++ b/crates/dispatch/src/scheduler/decision.rs
@@ -195,16 +195,16 @@
         let may_place = allows_request(confirmed_share(known, now_ms, inputs.lent));
         let candidate = upstreams.estimate_cost_from(now_ms, id, &request.zone)?;
         let is_fresh = fresh_report(known, now_ms).is_some();
-        // Foreign requests limit a placement by slots only, not by the best concurrency. Half a
-        // request of tolerance: the foreign load is an estimate that decays.
+        // Other hosts' requests limit a placement by slots only, not by the best concurrency. Half
+        // a request of tolerance, as their number is an estimate that decays.
         let occupied = known.occupied(now_ms, upstreams.load(&self.cell.service));
         let has_room = may_place && occupied + 0.5 <= f64::from(slots);
         Some(PlacementOption { rank: candidate.cost, candidate, is_fresh, may_place, has_room })
     }
 }
 
-/// The best upstreams without a fresh report. If no option has room, those that only foreign load
-/// fills are probed: an outdated report would exclude them for good.
+/// The best upstreams without a fresh report. If no option has room, those that only other hosts'
+/// requests fill are probed: an outdated report would exclude them for good.
 fn probe_targets(options: &[PlacementOption], has_option_with_room: bool) -> Vec<UpstreamId> {
     let stale =
         options.iter().filter(|option| !option.is_fresh && option.has_room == has_option_with_room);
--- a/crates/dispatch/src/scheduler/placement_rates.rs
+++ b/crates/dispatch/src/scheduler/placement_rates.rs
@@ -64,7 +64,7 @@
     lent.spendable(fresh_report(known, now_ms).is_some() && known.others() < 0.5)
 }
 
-/// The same, assuming no foreign requests if there is no fresh report.
+/// The same, assuming no requests of other hosts if there is no fresh report.
 pub(super) fn optimistic_share(known: &Known, now_ms: Millis, lent: Lent) -> f64 {
     lent.spendable(fresh_report(known, now_ms).is_none() || known.others() < 0.5)
 }
--- a/crates/dispatch/src/subset.rs
+++ b/crates/dispatch/src/subset.rs
@@ -56,7 +56,10 @@
         let upstreams_in_zone = entries().filter(|entry| entry.availability_zone == *zone).count();
         let most = match usable_upstreams <= FULL_SUBSET_MAX {
             true => PreferredCounts { local_zone: FULL_SUBSET_MAX, other_zones: FULL_SUBSET_MAX },
-            false => PreferredCounts { local_zone: LOCAL_ZONE_UPSTREAMS, other_zones: OTHER_ZONE_UPSTREAMS },
+            false => PreferredCounts {
+                local_zone: LOCAL_ZONE_UPSTREAMS,
+                other_zones: OTHER_ZONE_UPSTREAMS,
+            },
         };
         let chosen = preferred_upstreams(host, zone, most, entries());
         let members = chosen.into_iter().map(|entry| entry.id.clone()).collect();
