--- a/crates/dispatch/tests/scheduler.rs
+++ b/crates/dispatch/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! What a scheduler does with the requests of many hosts.
+//! Placement of requests by a scheduler.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -16,8 +16,8 @@
 use rstest::rstest;
 use support::{entry, id, report, set, submission};
 
-/// A scheduler, its knowledge, and the time.
-struct Play {
+/// A scheduler with its upstreams and clock.
+struct Harness {
     schedulers: SchedulerSet,
     upstreams: UpstreamSet,
     rng: Pcg64Mcg,
@@ -25,18 +25,17 @@
     tickets: u64,
 }
 
-/// What became of a ticket.
 #[derive(Debug, Clone, PartialEq)]
-enum Fate {
+enum RequestState {
     Placed(UpstreamId),
     Refused(RefusalCause),
     Waits,
 }
 
-impl Play {
-    fn new(upstreams: &[&str]) -> Play {
+impl Harness {
+    fn new(upstreams: &[&str]) -> Harness {
         let entries: Vec<_> = upstreams.iter().map(|name| entry(name, "kariakoo")).collect();
-        Play {
+        Harness {
             schedulers: SchedulerSet::new("front-1".parse().unwrap()),
             upstreams: set(&entries),
             rng: Pcg64Mcg::seed_from_u64(7),
@@ -45,20 +44,20 @@
         }
     }
 
-    fn wait(&mut self, span_ms: u64) {
+    fn advance(&mut self, span_ms: u64) {
         self.now_ms = self.now_ms + Millis(span_ms);
     }
 
-    fn tell(&mut self, upstream: &str, told: LoadReport) -> Vec<Effect> {
-        self.upstreams.note_report(self.now_ms, (&id(upstream), RunStart::default()), told);
-        self.turn()
+    fn report(&mut self, upstream: &str, reported: LoadReport) -> Vec<Effect> {
+        self.upstreams.note_report(self.now_ms, (&id(upstream), RunStart::default()), reported);
+        self.schedule()
     }
 
-    fn turn(&mut self) -> Vec<Effect> {
+    fn schedule(&mut self) -> Vec<Effect> {
         self.schedulers.schedule(self.now_ms, &mut self.upstreams, &mut self.rng)
     }
 
-    fn take(&mut self, message: PlacementMessage) -> Vec<Effect> {
+    fn handle(&mut self, message: PlacementMessage) -> Vec<Effect> {
         let requester = Requester::Peer("127.0.0.1:7000".parse().unwrap());
         self.schedulers.handle_message(
             self.now_ms,
@@ -78,7 +77,7 @@
     fn submit(&mut self) -> (Ticket, Vec<Effect>) {
         let submission = self.submission(&[]);
         let ticket = submission.ticket;
-        (ticket, self.take(PlacementMessage::Submit(submission)))
+        (ticket, self.handle(PlacementMessage::Submit(submission)))
     }
 
     fn end(&mut self, ticket: Ticket, failure: Option<SendFailure>, took_ms: u64) -> Vec<Effect> {
@@ -88,20 +87,23 @@
             report: Some(report(1, 0, 100)),
             backpressure: Backpressure::default(),
         };
-        self.take(PlacementMessage::Ended { ticket, outcome })
+        self.handle(PlacementMessage::Ended { ticket, outcome })
     }
 
-    /// Has it learn that work takes 100 ms.
-    fn learn_usual(&mut self, upstream: &str) {
+    /// Makes the scheduler learn a baseline of 100 ms.
+    fn learn_baseline(&mut self, upstream: &str) {
         let all = self.upstreams.of_service(&"parts".parse().unwrap()).to_vec();
         for _ in 0..50 {
             for other in all.iter().filter(|other| other.as_str() != upstream) {
-                self.tell(other.as_str(), report(0, 0, 700));
+                self.report(other.as_str(), report(0, 0, 700));
             }
-            self.tell(upstream, report(0, 0, 100));
+            self.report(upstream, report(0, 0, 100));
             let (ticket, effects) = self.submit();
-            assert!(matches!(fate(&effects, ticket), Fate::Placed(_)), "{effects:?}");
-            self.wait(100);
+            assert!(
+                matches!(request_state(&effects, ticket), RequestState::Placed(_)),
+                "{effects:?}"
+            );
+            self.advance(100);
             self.end(ticket, None, 100);
         }
     }
@@ -111,101 +113,101 @@
     Cell { service: "parts".parse().unwrap(), zone: None }
 }
 
-fn fate(effects: &[Effect], wanted: Ticket) -> Fate {
+fn request_state(effects: &[Effect], wanted: Ticket) -> RequestState {
     let of = |effect: &Effect| match effect {
         Effect::Send { message: PlacementMessage::Placed { ticket, placement }, .. }
             if *ticket == wanted =>
         {
-            Some(Fate::Placed(placement.upstream.clone()))
+            Some(RequestState::Placed(placement.upstream.clone()))
         }
         Effect::Send { message: PlacementMessage::Refused { ticket, cause }, .. }
             if *ticket == wanted =>
         {
-            Some(Fate::Refused(*cause))
+            Some(RequestState::Refused(*cause))
         }
         _ => None,
     };
-    effects.iter().find_map(of).unwrap_or(Fate::Waits)
+    effects.iter().find_map(of).unwrap_or(RequestState::Waits)
 }
 
-fn asked(effects: &[Effect]) -> Vec<String> {
+fn probed(effects: &[Effect]) -> Vec<String> {
     let of = |effect: &Effect| match effect {
         Effect::Probe(upstream) => Some(upstream.to_string()),
         Effect::Send { .. } => None,
     };
-    let mut asked: Vec<String> = effects.iter().filter_map(of).collect();
-    asked.sort();
-    asked
+    let mut probed: Vec<String> = effects.iter().filter_map(of).collect();
+    probed.sort();
+    probed
 }
 
 #[test]
-fn what_was_just_told_places_at_once() {
-    let mut play = Play::new(&["i-1", "i-2"]);
-    play.tell("i-1", report(0, 0, 400));
-    play.tell("i-2", report(0, 0, 100));
-    let (ticket, effects) = play.submit();
-    assert_eq!(fate(&effects, ticket), Fate::Placed(id("i-2")));
-    assert!(asked(&effects).is_empty());
+fn a_fresh_report_places_a_request_at_once() {
+    let mut harness = Harness::new(&["i-1", "i-2"]);
+    harness.report("i-1", report(0, 0, 400));
+    harness.report("i-2", report(0, 0, 100));
+    let (ticket, effects) = harness.submit();
+    assert_eq!(request_state(&effects, ticket), RequestState::Placed(id("i-2")));
+    assert!(probed(&effects).is_empty());
 }
 
 #[test]
-fn what_is_not_known_is_asked_first() {
-    let mut play = Play::new(&["i-1", "i-2"]);
-    let (ticket, effects) = play.submit();
-    assert_eq!(fate(&effects, ticket), Fate::Waits);
-    assert_eq!(asked(&effects), ["i-1", "i-2"]);
-    play.wait(2);
-    let effects = play.tell("i-2", report(0, 0, 100));
-    assert_eq!(fate(&effects, ticket), Fate::Placed(id("i-2")));
+fn upstreams_without_a_report_are_probed_first() {
+    let mut harness = Harness::new(&["i-1", "i-2"]);
+    let (ticket, effects) = harness.submit();
+    assert_eq!(request_state(&effects, ticket), RequestState::Waits);
+    assert_eq!(probed(&effects), ["i-1", "i-2"]);
+    harness.advance(2);
+    let effects = harness.report("i-2", report(0, 0, 100));
+    assert_eq!(request_state(&effects, ticket), RequestState::Placed(id("i-2")));
 }
 
 #[test]
-fn who_is_asked_already_is_not_asked_for_the_next_request() {
-    let mut play = Play::new(&["i-1", "i-2"]);
-    play.submit();
-    let (_, effects) = play.submit();
-    assert!(asked(&effects).is_empty(), "{effects:?}");
+fn a_pending_probe_serves_the_next_request_too() {
+    let mut harness = Harness::new(&["i-1", "i-2"]);
+    harness.submit();
+    let (_, effects) = harness.submit();
+    assert!(probed(&effects).is_empty(), "{effects:?}");
 }
 
 #[test]
-fn unanswered_questions_hold_nothing_up() {
-    let mut play = Play::new(&["i-1", "i-2"]);
-    let (ticket, _) = play.submit();
-    play.wait(7);
-    assert!(matches!(fate(&play.turn(), ticket), Fate::Placed(_)));
+fn unanswered_probes_delay_nothing() {
+    let mut harness = Harness::new(&["i-1", "i-2"]);
+    let (ticket, _) = harness.submit();
+    harness.advance(7);
+    assert!(matches!(request_state(&harness.schedule(), ticket), RequestState::Placed(_)));
 }
 
 #[test]
-fn upstreams_that_were_full_long_ago_are_asked_again() {
-    let mut play = Play::new(&["i-1", "i-2"]);
+fn upstreams_with_outdated_reports_are_probed_though_they_were_full() {
+    let mut harness = Harness::new(&["i-1", "i-2"]);
     for _ in 0..100 {
-        play.tell("i-1", report(6, 9, 100));
-        play.tell("i-2", report(6, 9, 100));
+        harness.report("i-1", report(6, 9, 100));
+        harness.report("i-2", report(6, 9, 100));
     }
-    play.wait(5_000);
-    let (ticket, effects) = play.submit();
-    assert_eq!(asked(&effects), ["i-1", "i-2"]);
-    assert_eq!(fate(&effects, ticket), Fate::Waits);
-    play.wait(2);
-    let effects = play.tell("i-1", report(0, 0, 100));
-    assert_eq!(fate(&effects, ticket), Fate::Placed(id("i-1")));
+    harness.advance(5_000);
+    let (ticket, effects) = harness.submit();
+    assert_eq!(probed(&effects), ["i-1", "i-2"]);
+    assert_eq!(request_state(&effects, ticket), RequestState::Waits);
+    harness.advance(2);
+    let effects = harness.report("i-1", report(0, 0, 100));
+    assert_eq!(request_state(&effects, ticket), RequestState::Placed(id("i-1")));
 }
 
 #[test]
-fn little_is_waited_for_where_no_usual_time_is_known() {
-    let mut play = Play::new(&["i-1"]);
-    play.tell("i-1", report(6, 9, 100));
-    let (ticket, effects) = play.submit();
-    assert_eq!(fate(&effects, ticket), Fate::Waits);
-    // A third of the objective.
-    play.wait(140);
-    let effects = play.tell("i-1", report(6, 9, 100));
-    assert_eq!(fate(&effects, ticket), Fate::Placed(id("i-1")));
+fn without_a_baseline_requests_wait_only_briefly() {
+    let mut harness = Harness::new(&["i-1"]);
+    harness.report("i-1", report(6, 9, 100));
+    let (ticket, effects) = harness.submit();
+    assert_eq!(request_state(&effects, ticket), RequestState::Waits);
+    // A third of the objective, which is assumed as baseline.
+    harness.advance(140);
+    let effects = harness.report("i-1", report(6, 9, 100));
+    assert_eq!(request_state(&effects, ticket), RequestState::Placed(id("i-1")));
 }
 
 #[test]
-fn all_slots_are_found_out_where_upstreams_tell_no_load() {
-    let mut play = Play::new(&["i-1"]);
+fn all_slots_are_used_where_upstreams_report_no_load() {
+    let mut harness = Harness::new(&["i-1"]);
     let outcome = |took_ms| Outcome {
         failure: None,
         took_ms: Millis(took_ms),
@@ -213,270 +215,275 @@
         backpressure: Backpressure::default(),
     };
     let mut most = 0;
-    // Each takes 100 ms, however many run beside it; there is always one more than fits.
+    // Each request takes 100 ms at any concurrency; there is always one more than there are slots.
     for _ in 0..1_500 {
-        let tickets: Vec<Ticket> = (0..7).map(|_| play.submit().0).collect();
-        play.wait(7);
-        play.turn();
-        let open = play.upstreams.get(&id("i-1")).unwrap().open();
+        let tickets: Vec<Ticket> = (0..7).map(|_| harness.submit().0).collect();
+        harness.advance(7);
+        harness.schedule();
+        let open = harness.upstreams.get(&id("i-1")).unwrap().open();
         most = open;
-        play.wait(93);
+        harness.advance(93);
         for ticket in tickets {
-            play.take(PlacementMessage::Ended { ticket, outcome: outcome(100) });
-            play.take(PlacementMessage::Withdrawn { ticket, withdrawal: Withdrawal::Sent });
+            harness.handle(PlacementMessage::Ended { ticket, outcome: outcome(100) });
+            harness.handle(PlacementMessage::Withdrawn { ticket, withdrawal: Withdrawal::Sent });
         }
     }
     assert_eq!(most, 6);
 }
 
 #[test]
-fn requests_wait_for_a_free_slot_rather_than_crowd() {
-    let mut play = Play::new(&["i-1"]);
-    play.learn_usual("i-1");
-    play.tell("i-1", report(0, 0, 100));
-    let placed = |play: &mut Play| {
-        let (ticket, effects) = play.submit();
-        (ticket, matches!(fate(&effects, ticket), Fate::Placed(_)))
+fn requests_wait_at_the_best_concurrency() {
+    let mut harness = Harness::new(&["i-1"]);
+    harness.learn_baseline("i-1");
+    harness.report("i-1", report(0, 0, 100));
+    let placed = |harness: &mut Harness| {
+        let (ticket, effects) = harness.submit();
+        (ticket, matches!(request_state(&effects, ticket), RequestState::Placed(_)))
     };
-    let first: Vec<(Ticket, bool)> = (0..6).map(|_| placed(&mut play)).collect();
+    let first: Vec<(Ticket, bool)> = (0..6).map(|_| placed(&mut harness)).collect();
     let at_once = first.iter().filter(|(_, is_placed)| *is_placed).count();
-    // Slots are six; with five the upstream gets little more done than with four.
+    // Of six slots: with five in use the initial curve has little more throughput than with four.
     assert_eq!(at_once, 4, "{first:?}");
     let (waits, _) = first[4];
     let (ended, _) = first[0];
-    play.wait(50);
-    let effects = play.end(ended, None, 50);
-    assert_eq!(fate(&effects, waits), Fate::Placed(id("i-1")));
+    harness.advance(50);
+    let effects = harness.end(ended, None, 50);
+    assert_eq!(request_state(&effects, waits), RequestState::Placed(id("i-1")));
 }
 
 #[test]
-fn what_the_queue_shows_to_be_hopeless_is_refused_at_once() {
-    let mut play = Play::new(&["i-1"]);
-    play.learn_usual("i-1");
-    play.tell("i-1", report(0, 0, 100));
-    // Five run, and the objective leaves time for some rounds of them.
-    let fates: Vec<Fate> = (0..60)
+fn requests_that_would_be_late_are_refused_at_once() {
+    let mut harness = Harness::new(&["i-1"]);
+    harness.learn_baseline("i-1");
+    harness.report("i-1", report(0, 0, 100));
+    // Four run at a time, and the objective leaves time for a few rounds.
+    let states: Vec<RequestState> = (0..60)
         .map(|_| {
-            let (ticket, effects) = play.submit();
-            fate(&effects, ticket)
+            let (ticket, effects) = harness.submit();
+            request_state(&effects, ticket)
         })
         .collect();
-    let refused = fates.iter().position(|fate| matches!(fate, Fate::Refused(_))).unwrap();
+    let refused =
+        states.iter().position(|state| matches!(state, RequestState::Refused(_))).unwrap();
     assert!((10..25).contains(&refused), "{refused}");
-    assert!(fates[refused..].iter().all(|fate| matches!(fate, Fate::Refused(_))));
+    assert!(states[refused..].iter().all(|state| matches!(state, RequestState::Refused(_))));
 }
 
 #[test]
-fn a_short_queue_is_waited_in_though_upstreams_are_slowed_for_the_moment() {
-    let mut play = Play::new(&["i-1"]);
-    play.learn_usual("i-1");
-    play.tell("i-1", report(0, 0, 900));
-    let (ticket, effects) = play.submit();
-    assert_eq!(fate(&effects, ticket), Fate::Waits);
-    play.wait(50);
-    let effects = play.tell("i-1", report(0, 0, 100));
-    assert_eq!(fate(&effects, ticket), Fate::Placed(id("i-1")));
+fn requests_wait_in_a_short_queue_even_if_upstreams_are_slow() {
+    let mut harness = Harness::new(&["i-1"]);
+    harness.learn_baseline("i-1");
+    harness.report("i-1", report(0, 0, 900));
+    let (ticket, effects) = harness.submit();
+    assert_eq!(request_state(&effects, ticket), RequestState::Waits);
+    harness.advance(50);
+    let effects = harness.report("i-1", report(0, 0, 100));
+    assert_eq!(request_state(&effects, ticket), RequestState::Placed(id("i-1")));
 }
 
 #[test]
-fn the_time_to_come_back_is_when_there_is_room() {
-    let mut play = Play::new(&["i-1"]);
-    play.learn_usual("i-1");
-    play.tell("i-1", report(0, 0, 100));
-    let mut told = Vec::new();
+fn retry_after_is_when_capacity_is_expected() {
+    let mut harness = Harness::new(&["i-1"]);
+    harness.learn_baseline("i-1");
+    harness.report("i-1", report(0, 0, 100));
+    let mut reported = Vec::new();
     for _ in 0..60 {
-        let (ticket, effects) = play.submit();
-        if let Fate::Refused(RefusalCause::NoRoom { retry_after_ms, .. }) = fate(&effects, ticket) {
-            told.push(retry_after_ms);
+        let (ticket, effects) = harness.submit();
+        if let RequestState::Refused(RefusalCause::NoRoom { retry_after_ms, .. }) =
+            request_state(&effects, ticket)
+        {
+            reported.push(retry_after_ms);
         }
     }
-    assert!(told.iter().all(|after_ms| (30..400).contains(&after_ms.0)), "{told:?}");
+    assert!(reported.iter().all(|after_ms| (30..400).contains(&after_ms.0)), "{reported:?}");
 }
 
 #[test]
-fn urgent_routes_go_first_and_then_those_that_end_first() {
-    let mut play = Play::new(&["i-1"]);
-    play.learn_usual("i-1");
-    play.tell("i-1", report(0, 0, 100));
-    let running: Vec<Ticket> = (0..4).map(|_| play.submit().0).collect();
+fn urgent_routes_go_first_and_then_the_earliest_objective() {
+    let mut harness = Harness::new(&["i-1"]);
+    harness.learn_baseline("i-1");
+    harness.report("i-1", report(0, 0, 100));
+    let running: Vec<Ticket> = (0..4).map(|_| harness.submit().0).collect();
     let mut submit = |priority: u32, age_ms: u64| {
-        let submission = Submission { priority, age_ms: Millis(age_ms), ..play.submission(&[]) };
+        let submission = Submission { priority, age_ms: Millis(age_ms), ..harness.submission(&[]) };
         let ticket = submission.ticket;
-        play.take(PlacementMessage::Submit(submission));
+        harness.handle(PlacementMessage::Submit(submission));
         ticket
     };
     let (late, old, urgent) = (submit(1, 0), submit(1, 60), submit(0, 0));
     let mut order = Vec::new();
     for ended in running.into_iter().take(3) {
-        play.wait(5);
-        let effects = play.end(ended, None, 100);
+        harness.advance(5);
+        let effects = harness.end(ended, None, 100);
         let placed = [late, old, urgent]
             .into_iter()
-            .filter(|&ticket| matches!(fate(&effects, ticket), Fate::Placed(_)));
+            .filter(|&ticket| matches!(request_state(&effects, ticket), RequestState::Placed(_)));
         order.extend(placed);
     }
     assert_eq!(order, [urgent, old, late]);
 }
 
 #[rstest]
-#[case::failing(|play: &mut Play| fail_all(play, "i-1"))]
-#[case::out_of_reach(|play: &mut Play| {
-    let now_ms = play.now_ms;
-    let known = play.upstreams.get_mut(&id("i-1")).unwrap();
+#[case::failing(|harness: &mut Harness| fail_all(harness, "i-1"))]
+#[case::unreachable(|harness: &mut Harness| {
+    let now_ms = harness.now_ms;
+    let known = harness.upstreams.get_mut(&id("i-1")).unwrap();
     known.note_ask_failed(now_ms, AskFailure::Unreachable);
 })]
-fn an_idle_upstream_that_is_no_good_draws_nothing_while_others_are_full(
-    #[case] spoil: fn(&mut Play),
+fn an_idle_but_faulty_upstream_gets_nothing_while_others_are_full(
+    #[case] disable: fn(&mut Harness),
 ) {
-    let mut play = Play::new(&["i-1", "i-2"]);
-    play.learn_usual("i-2");
-    spoil(&mut play);
-    play.tell("i-1", report(0, 0, 100));
-    play.tell("i-2", report(0, 0, 100));
+    let mut harness = Harness::new(&["i-1", "i-2"]);
+    harness.learn_baseline("i-2");
+    disable(&mut harness);
+    harness.report("i-1", report(0, 0, 100));
+    harness.report("i-2", report(0, 0, 100));
     for _ in 0..8 {
-        let (ticket, effects) = play.submit();
-        let fate = fate(&effects, ticket);
-        assert_ne!(fate, Fate::Placed(id("i-1")));
+        let (ticket, effects) = harness.submit();
+        let state = request_state(&effects, ticket);
+        assert_ne!(state, RequestState::Placed(id("i-1")));
     }
 }
 
-/// Requests end in an error there at once.
-fn fail_all(play: &mut Play, upstream: &str) {
+/// Makes requests to the upstream fail at once.
+fn fail_all(harness: &mut Harness, upstream: &str) {
     for _ in 0..6 {
-        let now_ms = play.now_ms;
-        let known = play.upstreams.get_mut(&id(upstream)).unwrap();
+        let now_ms = harness.now_ms;
+        let known = harness.upstreams.get_mut(&id(upstream)).unwrap();
         known.note_sent(Millis::ZERO);
         known.note_ended(now_ms, Some(SendFailure::ErrorAnswer));
     }
 }
 
 #[test]
-fn a_request_that_was_sent_once_goes_elsewhere_and_is_not_kept_back() {
-    let mut play = Play::new(&["i-1", "i-2"]);
-    play.learn_usual("i-1");
-    play.tell("i-1", report(0, 0, 100));
-    play.tell("i-2", report(0, 0, 700));
-    let submission = play.submission(&["i-1"]);
+fn a_retry_goes_to_another_upstream_without_waiting() {
+    let mut harness = Harness::new(&["i-1", "i-2"]);
+    harness.learn_baseline("i-1");
+    harness.report("i-1", report(0, 0, 100));
+    harness.report("i-2", report(0, 0, 700));
+    let submission = harness.submission(&["i-1"]);
     let ticket = submission.ticket;
-    let effects = play.take(PlacementMessage::Submit(submission));
-    assert_eq!(fate(&effects, ticket), Fate::Placed(id("i-2")));
+    let effects = harness.handle(PlacementMessage::Submit(submission));
+    assert_eq!(request_state(&effects, ticket), RequestState::Placed(id("i-2")));
 }
 
 #[test]
-fn a_place_that_is_given_back_is_free() {
-    let mut play = Play::new(&["i-1"]);
-    play.tell("i-1", report(0, 0, 100));
-    let (ticket, _) = play.submit();
-    assert_eq!(play.upstreams.get(&id("i-1")).unwrap().open(), 1);
-    play.take(PlacementMessage::Withdrawn { ticket, withdrawal: Withdrawal::Sent });
-    assert_eq!(play.upstreams.get(&id("i-1")).unwrap().open(), 0);
+fn a_withdrawn_placement_frees_its_slot() {
+    let mut harness = Harness::new(&["i-1"]);
+    harness.report("i-1", report(0, 0, 100));
+    let (ticket, _) = harness.submit();
+    assert_eq!(harness.upstreams.get(&id("i-1")).unwrap().open(), 1);
+    harness.handle(PlacementMessage::Withdrawn { ticket, withdrawal: Withdrawal::Sent });
+    assert_eq!(harness.upstreams.get(&id("i-1")).unwrap().open(), 0);
 }
 
 #[test]
-fn messages_that_come_twice_change_nothing() {
-    let mut play = Play::new(&["i-1"]);
-    play.tell("i-1", report(0, 0, 100));
-    let submission = play.submission(&[]);
+fn duplicate_messages_change_nothing() {
+    let mut harness = Harness::new(&["i-1"]);
+    harness.report("i-1", report(0, 0, 100));
+    let submission = harness.submission(&[]);
     let ticket = submission.ticket;
     for _ in 0..2 {
-        play.take(PlacementMessage::Submit(submission.clone()));
+        harness.handle(PlacementMessage::Submit(submission.clone()));
     }
-    assert_eq!(play.upstreams.get(&id("i-1")).unwrap().open(), 1);
+    assert_eq!(harness.upstreams.get(&id("i-1")).unwrap().open(), 1);
     for _ in 0..2 {
-        play.end(ticket, None, 100);
+        harness.end(ticket, None, 100);
     }
-    assert_eq!(play.upstreams.get(&id("i-1")).unwrap().open(), 0);
+    assert_eq!(harness.upstreams.get(&id("i-1")).unwrap().open(), 0);
 }
 
 #[test]
-fn a_request_whose_end_was_never_told_is_forgotten() {
-    let mut play = Play::new(&["i-1"]);
-    play.tell("i-1", report(0, 0, 100));
-    play.submit();
-    play.wait(1_400);
-    play.turn();
-    assert_eq!(play.upstreams.get(&id("i-1")).unwrap().open(), 0);
+fn a_request_without_a_reported_end_expires() {
+    let mut harness = Harness::new(&["i-1"]);
+    harness.report("i-1", report(0, 0, 100));
+    harness.submit();
+    harness.advance(1_400);
+    harness.schedule();
+    assert_eq!(harness.upstreams.get(&id("i-1")).unwrap().open(), 0);
 }
 
 #[test]
-fn a_host_that_leaves_takes_no_more() {
-    let mut play = Play::new(&["i-1"]);
-    play.tell("i-1", report(0, 0, 100));
-    play.schedulers.stop_accepting();
-    let (ticket, effects) = play.submit();
-    assert_eq!(fate(&effects, ticket), Fate::Refused(RefusalCause::NoUpstream));
+fn a_host_that_stopped_accepting_refuses_submissions() {
+    let mut harness = Harness::new(&["i-1"]);
+    harness.report("i-1", report(0, 0, 100));
+    harness.schedulers.stop_accepting();
+    let (ticket, effects) = harness.submit();
+    assert_eq!(request_state(&effects, ticket), RequestState::Refused(RefusalCause::NoUpstream));
 }
 
 #[test]
-fn who_waits_is_told_so() {
-    let mut play = Play::new(&["i-1"]);
-    play.learn_usual("i-1");
-    play.tell("i-1", report(0, 0, 100));
+fn waiting_requests_get_notices() {
+    let mut harness = Harness::new(&["i-1"]);
+    harness.learn_baseline("i-1");
+    harness.report("i-1", report(0, 0, 100));
     for _ in 0..6 {
-        play.submit();
+        harness.submit();
     }
-    let mut words = 0;
+    let mut notices = 0;
     for _ in 0..10 {
-        play.wait(4);
-        let is_word = |effect: &&Effect| {
+        harness.advance(4);
+        let is_notice = |effect: &&Effect| {
             matches!(effect, Effect::Send { message: PlacementMessage::Queued { .. }, .. })
         };
-        words += play.turn().iter().filter(is_word).count();
+        notices += harness.schedule().iter().filter(is_notice).count();
     }
-    // Two wait, and are told every ten milliseconds or a little later.
-    assert!((4..=8).contains(&words), "{words}");
+    // Two wait, with a notice about every ten milliseconds.
+    assert!((4..=8).contains(&notices), "{notices}");
 }
 
 #[test]
-fn a_host_is_sent_where_it_has_a_connection() {
-    let mut play = Play::new(&["i-1", "i-2", "i-3", "i-4"]);
+fn upstreams_with_a_connection_are_preferred() {
+    let mut harness = Harness::new(&["i-1", "i-2", "i-3", "i-4"]);
     let mut placed = Vec::new();
     for _ in 0..20 {
         for name in ["i-1", "i-2", "i-3", "i-4"] {
-            play.tell(name, report(0, 0, 100));
+            harness.report(name, report(0, 0, 100));
         }
-        let (ticket, effects) = play.submit();
-        let Fate::Placed(upstream) = fate(&effects, ticket) else { panic!("{effects:?}") };
+        let (ticket, effects) = harness.submit();
+        let RequestState::Placed(upstream) = request_state(&effects, ticket) else {
+            panic!("{effects:?}")
+        };
         placed.push(upstream);
-        play.end(ticket, None, 100);
-        play.wait(100);
+        harness.end(ticket, None, 100);
+        harness.advance(100);
     }
     assert!(placed.iter().all(|upstream| *upstream == placed[0]), "{placed:?}");
 }
 
-/// All upstreams of a zone are down: hosts find out by connecting, and tell the scheduler. Before
-/// it was told, it placed request after request there until each had been tried eight times, and
-/// callers were refused while the other zones were idle.
+/// If all upstreams of a zone are down, a scheduler that isn't informed keeps placing requests
+/// there while other zones are idle.
 #[rstest]
 #[case::one_zone_of_several(Some("kariakoo"), true)]
 #[case::the_whole_service(None, false)]
-fn upstreams_that_hosts_cannot_reach_get_nothing_more(
+fn unreachable_upstreams_get_no_more_requests(
     #[case] zone: Option<&str>,
     #[case] is_refused: bool,
 ) {
-    let mut play = Play::new(&["i-1", "i-2", "i-3"]);
+    let mut harness = Harness::new(&["i-1", "i-2", "i-3"]);
     let cell = Cell { zone: zone.map(|zone| zone.parse().unwrap()), ..cell() };
-    let submit = |play: &mut Play| {
-        let submission = Submission { cell: cell.clone(), ..play.submission(&[]) };
+    let submit = |harness: &mut Harness| {
+        let submission = Submission { cell: cell.clone(), ..harness.submission(&[]) };
         let ticket = submission.ticket;
-        (ticket, play.take(PlacementMessage::Submit(submission)))
+        (ticket, harness.handle(PlacementMessage::Submit(submission)))
     };
     for _ in 0..3 {
         for name in ["i-1", "i-2", "i-3"] {
-            play.tell(name, report(0, 0, 100));
+            harness.report(name, report(0, 0, 100));
         }
-        let (ticket, effects) = submit(&mut play);
-        assert!(matches!(fate(&effects, ticket), Fate::Placed(_)), "{effects:?}");
-        play.take(PlacementMessage::Withdrawn { ticket, withdrawal: Withdrawal::Unreachable });
+        let (ticket, effects) = submit(&mut harness);
+        assert!(matches!(request_state(&effects, ticket), RequestState::Placed(_)), "{effects:?}");
+        harness.handle(PlacementMessage::Withdrawn { ticket, withdrawal: Withdrawal::Unreachable });
     }
-    let (ticket, effects) = submit(&mut play);
-    let refused = fate(&effects, ticket) == Fate::Refused(RefusalCause::NoUpstream);
+    let (ticket, effects) = submit(&mut harness);
+    let refused =
+        request_state(&effects, ticket) == RequestState::Refused(RefusalCause::NoUpstream);
     assert_eq!(refused, is_refused, "{effects:?}");
-    // Their entries are written anew: they are there.
+    // New revisions show that the upstreams are back.
     let entries: Vec<_> = ["i-1", "i-2", "i-3"]
         .map(|name| Entry { revision: Revision(2), ..entry(name, "kariakoo") })
         .to_vec();
-    play.upstreams.sync(play.now_ms, entries.iter(), &Evacuations::default());
-    let (ticket, effects) = submit(&mut play);
-    assert!(matches!(fate(&effects, ticket), Fate::Placed(_)), "{effects:?}");
+    harness.upstreams.sync(harness.now_ms, entries.iter(), &Evacuations::default());
+    let (ticket, effects) = submit(&mut harness);
+    assert!(matches!(request_state(&effects, ticket), RequestState::Placed(_)), "{effects:?}");
 }
