--- a/crates/dispatch/tests/attempts.rs
+++ b/crates/dispatch/tests/attempts.rs
@@ -1,5 +1,5 @@
-//! What follows an ended sending: "not run" is told with proof only, and nothing that must
-//! run once is sent twice.
+//! Retry rules: "not run" is only stated with proof, and requests that must run at most once are
+//! never run twice.
 
 use dispatch::attempts::{
     AttemptResult, AttemptState, Cause, NextStep, Refusal, ResponseSummary, is_not_run, next_step,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Short names of what may follow.
+/// Names of the steps in the test cases.
 fn name(next: NextStep) -> &'static str {
     match next {
         NextStep::Deliver => "deliver",
@@ -41,12 +41,12 @@
     }
 }
 
-fn check(repeat: Idempotency, end: AttemptResult, wanted: &str) {
+fn check(repeat: Idempotency, result: AttemptResult, wanted: &str) {
     let mut state = state(repeat);
-    if is_not_run(end) {
+    if is_not_run(result) {
         state.may_have_run = 0;
     }
-    assert_eq!(name(next_step(state, end)), wanted, "{repeat:?} {end:?}");
+    assert_eq!(name(next_step(state, result)), wanted, "{repeat:?} {result:?}");
 }
 
 #[rstest]
@@ -54,35 +54,39 @@
 #[case::success_without_seal(unsealed(200), "again", "unknown")]
 #[case::redirect(answered(302), "deliver", "deliver")]
 #[case::about_the_request(answered(404), "deliver", "deliver")]
-#[case::own_failure(answered(500), "again", "deliver")]
-#[case::own_deadline(answered(504), "again", "deliver")]
+#[case::upstream_failure(answered(500), "again", "deliver")]
+#[case::upstream_timeout(answered(504), "again", "deliver")]
 #[case::failure_without_seal(unsealed(500), "again", "unknown")]
-#[case::promise_without_proof(answered(503), "again", "unknown")]
+#[case::overload_without_proof(answered(503), "again", "unknown")]
 #[case::limit_without_proof(answered(429), "again", "unknown")]
 #[case::timeout_without_proof(answered(408), "again", "unknown")]
 #[case::shed(shed(503), "again", "again")]
-#[case::limited(shed(429), "again", "again")]
+#[case::rate_limited(shed(429), "again", "again")]
 #[case::other_upstream(shed(421), "again", "again")]
-#[case::faulty_request(shed(400), "deliver", "deliver")]
+#[case::malformed_request(shed(400), "deliver", "deliver")]
 #[case::not_sent(AttemptResult::NotSent, "again", "again")]
 #[case::broken(AttemptResult::Broken, "again", "unknown")]
-fn follows(#[case] end: AttemptResult, #[case] idempotent: &str, #[case] at_most_once: &str) {
-    check(Idempotency::Idempotent, end, idempotent);
-    check(Idempotency::AtMostOnce, end, at_most_once);
+fn next_step_by_result(
+    #[case] result: AttemptResult,
+    #[case] idempotent: &str,
+    #[case] at_most_once: &str,
+) {
+    check(Idempotency::Idempotent, result, idempotent);
+    check(Idempotency::AtMostOnce, result, at_most_once);
 }
 
 #[rstest]
 #[case::no_budget(AttemptState { is_budget_spent: true, ..state(Idempotency::Idempotent) })]
 #[case::no_attempt_left(AttemptState { may_have_run: 2, ..state(Idempotency::Idempotent) })]
 #[case::no_time_left(AttemptState { left_ms: Millis(5), ..state(Idempotency::Idempotent) })]
-fn nothing_is_sent_again_without_leave(#[case] state: AttemptState) {
+fn no_retry_without_budget_attempts_or_time(#[case] state: AttemptState) {
     assert_eq!(name(next_step(state, AttemptResult::Broken)), "unknown");
     assert_eq!(name(next_step(state, answered(500))), "deliver");
     assert_eq!(name(next_step(state, shed(503))), "unknown");
 }
 
 #[test]
-fn what_was_shed_everywhere_is_told_as_not_run_with_a_time_to_come_back() {
+fn a_request_shed_by_all_upstreams_is_refused_as_not_run_with_retry_after() {
     for repeat in [Idempotency::Idempotent, Idempotency::AtMostOnce] {
         let state = AttemptState { may_have_run: 0, attempts_made: 4, ..state(repeat) };
         let NextStep::Refuse(refusal) = next_step(state, shed(503)) else { panic!("not refused") };
@@ -94,7 +98,7 @@
 }
 
 #[test]
-fn what_may_have_run_once_is_never_told_as_not_run() {
+fn a_request_that_may_have_run_is_never_refused_as_not_run() {
     let state = AttemptState { attempts_made: 4, ..state(Idempotency::Idempotent) };
     let NextStep::Refuse(refusal) = next_step(state, shed(503)) else { panic!("not refused") };
     assert!(!refusal.is_not_run);
@@ -102,7 +106,7 @@
 }
 
 #[rstest]
-fn statuses_that_promise_come_with_proof_only(
+fn statuses_that_promise_not_run_need_proof(
     #[values(
         Cause::NotConfigured,
         Cause::NoRoute,
--- a/crates/dispatch/tests/choice.rs
+++ b/crates/dispatch/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Which upstream is preferred, and whom a host asks.
+//! Costs of upstreams, and the choice of upstreams to probe.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -15,14 +15,14 @@
 
 const NOW: Millis = Millis(10_000);
 
-fn told(running: u32, waiting: u32, slowness_percent: u32, age_ms: u64) -> Known {
+fn reported(running: u32, waiting: u32, slowness_percent: u32, age_ms: u64) -> Known {
     let mut known = known("i-1");
     known.note_report(NOW - Millis(age_ms), report(running, waiting, slowness_percent));
     known
 }
 
 fn failing(failures: u32) -> Known {
-    let mut known = told(0, 0, 100, 0);
+    let mut known = reported(0, 0, 100, 0);
     for _ in 0..failures {
         known.note_sent(NOW);
         known.note_ended(NOW, Some(SendFailure::Broken));
@@ -41,19 +41,19 @@
 }
 
 #[rstest]
-#[case::idle_before_busy(told(0, 0, 100, 0), told(5, 0, 100, 0))]
-#[case::busy_before_full(told(5, 0, 100, 0), told(6, 3, 100, 0))]
-#[case::usual_before_slow(told(3, 0, 100, 0), told(0, 0, 700, 0))]
-#[case::full_before_very_slow(told(6, 1, 100, 0), told(0, 0, 700, 0))]
-#[case::fresh_good_before_unknown(told(2, 0, 100, 0), known("i-1"))]
-#[case::unknown_before_fresh_slow(known("i-1"), told(0, 0, 700, 0))]
-#[case::fresh_fair_before_old_slow(told(1, 0, 150, 0), told(0, 0, 700, 500))]
-#[case::sound_before_failing(told(4, 0, 100, 0), failing(3))]
-fn prefers(#[case] better: Known, #[case] worse: Known) {
+#[case::idle_before_busy(reported(0, 0, 100, 0), reported(5, 0, 100, 0))]
+#[case::busy_before_full(reported(5, 0, 100, 0), reported(6, 3, 100, 0))]
+#[case::normal_before_slow(reported(3, 0, 100, 0), reported(0, 0, 700, 0))]
+#[case::full_before_very_slow(reported(6, 1, 100, 0), reported(0, 0, 700, 0))]
+#[case::fresh_good_before_unknown(reported(2, 0, 100, 0), known("i-1"))]
+#[case::unknown_before_fresh_slow(known("i-1"), reported(0, 0, 700, 0))]
+#[case::fresh_fair_before_old_slow(reported(1, 0, 150, 0), reported(0, 0, 700, 500))]
+#[case::healthy_before_failing(reported(4, 0, 100, 0), failing(3))]
+fn lower_cost_is_preferred(#[case] better: Known, #[case] worse: Known) {
     assert!(cost(&better) < cost(&worse), "{} {}", cost(&better), cost(&worse));
 }
 
-/// A service whose upstreams told this load over and over.
+/// Load of a service whose upstreams repeatedly reported this.
 fn service(running: u32, waiting: u32, slowness_percent: u32) -> ServiceLoad {
     let mut load = ServiceLoad::default();
     for _ in 0..200 {
@@ -63,19 +63,19 @@
 }
 
 #[rstest]
-#[case::all_full_the_old_report_is_no_idle_upstream(
+#[case::all_full_an_old_report_does_not_count_as_idle(
     service(6, 8, 300),
-    told(6, 6, 300, 0),
-    told(6, 8, 300, 900)
+    reported(6, 6, 300, 0),
+    reported(6, 8, 300, 900)
 )]
-#[case::all_full_nothing_known(service(6, 8, 300), told(6, 4, 300, 0), known("i-1"))]
-#[case::all_idle_nothing_known(service(0, 0, 100), known("i-1"), told(4, 0, 150, 0))]
+#[case::all_full_nothing_known(service(6, 8, 300), reported(6, 4, 300, 0), known("i-1"))]
+#[case::all_idle_nothing_known(service(0, 0, 100), known("i-1"), reported(4, 0, 150, 0))]
 #[case::all_idle_an_old_report_of_a_full_one(
     service(0, 0, 100),
-    told(6, 8, 300, 2_000),
-    told(4, 0, 150, 0)
+    reported(6, 8, 300, 2_000),
+    reported(4, 0, 150, 0)
 )]
-fn what_is_not_known_is_as_the_service(
+fn unknown_load_is_taken_from_the_service(
     #[case] load: ServiceLoad,
     #[case] better: Known,
     #[case] worse: Known,
@@ -85,22 +85,22 @@
 }
 
 #[test]
-fn failures_make_it_worse_but_not_longer() {
-    let (sound, failing) = (told(0, 0, 100, 0), failing(5));
+fn failures_raise_the_cost_but_not_the_expected_work() {
+    let (healthy, failing) = (reported(0, 0, 100, 0), failing(5));
     let work = |known| estimate_cost(known, ServiceLoad::default(), false).work;
-    assert!((work(&sound) - work(&failing)).abs() < 1e-9);
+    assert!((work(&healthy) - work(&failing)).abs() < 1e-9);
 }
 
 #[test]
-fn failures_are_forgotten() {
+fn failures_fade() {
     let known = failing(5);
     assert!(known.failure_share(NOW) > 0.5);
     assert!(known.failure_share(NOW + Millis(20_000)) < 0.1);
 }
 
 #[test]
-fn what_was_sent_since_a_report_counts() {
-    let mut known = told(0, 0, 100, 0);
+fn requests_sent_since_a_report_count() {
+    let mut known = reported(0, 0, 100, 0);
     let idle = cost(&known);
     for _ in 0..6 {
         known.note_sent(NOW);
@@ -111,19 +111,19 @@
 }
 
 #[test]
-fn another_zone_is_dearer() {
-    let known = told(0, 0, 100, 0);
+fn another_zone_costs_more() {
+    let known = reported(0, 0, 100, 0);
     let near = estimate_cost(&known, ServiceLoad::default(), false);
     let far = estimate_cost(&known, ServiceLoad::default(), true);
     assert!(far.cost > near.cost);
     assert!((far.work - near.work).abs() < 1e-9);
 }
 
-fn asked(set: &dispatch::UpstreamSet, excluded: &[&str], most: usize) -> Vec<String> {
-    reached(set, excluded, most, Reach::Near)
+fn probed_in_zone(set: &dispatch::UpstreamSet, excluded: &[&str], most: usize) -> Vec<String> {
+    probed(set, excluded, most, Reach::Near)
 }
 
-fn reached(
+fn probed(
     set: &dispatch::UpstreamSet,
     excluded: &[&str],
     most: usize,
@@ -139,47 +139,47 @@
 }
 
 #[test]
-fn its_own_zone_is_asked_first() {
+fn the_local_zone_is_probed_first() {
     let set =
         set(&[entry("far-1", "temeke"), entry("near-1", "kariakoo"), entry("near-2", "kariakoo")]);
-    assert_eq!(asked(&set, &[], 2), ["near-1", "near-2"]);
-    assert_eq!(asked(&set, &["near-1"], 2), ["far-1", "near-2"]);
-    assert_eq!(reached(&set, &[], 1, Reach::Far), ["far-1"]);
-    assert_eq!(reached(&set, &["far-1"], 2, Reach::Far), ["near-1", "near-2"]);
+    assert_eq!(probed_in_zone(&set, &[], 2), ["near-1", "near-2"]);
+    assert_eq!(probed_in_zone(&set, &["near-1"], 2), ["far-1", "near-2"]);
+    assert_eq!(probed(&set, &[], 1, Reach::Far), ["far-1"]);
+    assert_eq!(probed(&set, &["far-1"], 2, Reach::Far), ["near-1", "near-2"]);
 }
 
 #[test]
-fn who_leaves_is_not_asked() {
+fn draining_upstreams_are_not_probed() {
     let set = set(&[entry("i-1", "kariakoo"), entry_in("i-2", "kariakoo", UpstreamMode::Draining)]);
-    assert_eq!(asked(&set, &[], 3), ["i-1"]);
+    assert_eq!(probed_in_zone(&set, &[], 3), ["i-1"]);
     assert!(!set.takes_work(&id("i-2")));
     assert_eq!(set.count(&"parts".parse().unwrap()), 1);
 }
 
 #[test]
-fn who_can_not_be_reached_is_left_alone_unless_nobody_else_is_there() {
+fn unreachable_upstreams_are_excluded_unless_there_are_no_others() {
     let mut set = set(&[entry("i-1", "kariakoo"), entry("i-2", "kariakoo")]);
     set.get_mut(&id("i-1")).unwrap().note_ask_failed(NOW, AskFailure::Unreachable);
-    assert_eq!(asked(&set, &[], 3), ["i-2"]);
-    assert_eq!(asked(&set, &["i-2"], 3), ["i-1"]);
+    assert_eq!(probed_in_zone(&set, &[], 3), ["i-2"]);
+    assert_eq!(probed_in_zone(&set, &["i-2"], 3), ["i-1"]);
     set.get_mut(&id("i-1")).unwrap().note_asked();
-    assert_eq!(asked(&set, &[], 3), ["i-1", "i-2"]);
+    assert_eq!(probed_in_zone(&set, &[], 3), ["i-1", "i-2"]);
 }
 
 #[test]
-fn the_time_it_is_left_alone_grows_and_ends() {
+fn the_exclusion_grows_up_to_a_limit() {
     let mut known = known("i-1");
-    let mut spans = Vec::new();
+    let mut exclusions_ms = Vec::new();
     for _ in 0..6 {
         known.note_ask_failed(NOW, AskFailure::Silent);
-        let span = (0..10_000).find(|&ms| !known.is_avoided(NOW + Millis(ms))).unwrap();
-        spans.push(span);
+        let excluded_ms = (0..10_000).find(|&ms| !known.is_avoided(NOW + Millis(ms))).unwrap();
+        exclusions_ms.push(excluded_ms);
     }
-    assert_eq!(spans, [250, 500, 1_000, 2_000, 2_000, 2_000]);
+    assert_eq!(exclusions_ms, [250, 500, 1_000, 2_000, 2_000, 2_000]);
 }
 
 #[test]
-fn knowledge_stays_over_a_change_of_entries() {
+fn state_survives_a_change_of_entries() {
     let mut set = set(&[entry("i-1", "kariakoo"), entry("i-2", "kariakoo")]);
     set.note_report(NOW, (&id("i-1"), RunStart::default()), report(5, 0, 100));
     set.sync(
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn the_usual_time_is_learned_from_answers_that_were_expected_soon() {
+fn the_baseline_is_learned_from_responses_with_little_expected_work() {
     let mut set = set(&[entry("i-1", "kariakoo")]);
     let service = "parts".parse().unwrap();
     assert_eq!(set.expected_ms(&service, 1.0), None);
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn busy_upstreams_that_take_longer_than_expected_are_expected_to() {
+fn durations_of_busy_upstreams_are_corrected_by_experience() {
     let mut set = set(&[entry("i-1", "kariakoo")]);
     let service = "parts".parse().unwrap();
     set.record_duration(&service, Millis(100), 1.0);
@@ -216,11 +216,11 @@
     assert_eq!(set.expected_ms(&service, 1.0), Some(Millis(100)));
 }
 
-/// Of equals the connected one is asked; one that is known to be slow is not.
+/// Among equals the connected upstream is probed, but not if it is known to be slow.
 #[rstest]
 #[case::equals(100, "i-2")]
 #[case::the_connected_one_is_slow(700, "i-1")]
-fn a_connected_upstream_is_asked_by_preference(#[case] slowness: u32, #[case] wanted: &str) {
+fn a_connected_upstream_is_preferred_for_probes(#[case] slowness: u32, #[case] wanted: &str) {
     let mut set = support::set(&[entry("i-1", "kariakoo"), entry("i-2", "kariakoo")]);
     let now_ms = Millis(1_000);
     set.note_report(now_ms, (&id("i-1"), RunStart::default()), report(0, 0, 100));
@@ -230,21 +230,21 @@
         let is_connected = |other: &UpstreamId| other.as_str() == "i-2";
         let service = "parts".parse().unwrap();
         let one = (1, Reach::Near);
-        let asked = set.to_ask(now_ms, &service, &[], one, is_connected, &mut rng);
-        assert_eq!(asked, [id(wanted)]);
+        let probed = set.to_ask(now_ms, &service, &[], one, is_connected, &mut rng);
+        assert_eq!(probed, [id(wanted)]);
     }
 }
 
-/// An upstream that is added is asked like those to which there are connections; one that was
-/// there when the host started is not.
+/// An upstream that has just been added is probed as if connected; one that was there when the host
+/// started is not.
 #[rstest]
 #[case::added(10_000, 11_000, true)]
 #[case::added_long_ago(10_000, 40_000, false)]
 #[case::there_from_the_start(1_000, 11_000, false)]
-fn a_newcomer_needs_no_connection(
+fn a_new_upstream_needs_no_connection_to_be_probed(
     #[case] joined_ms: u64,
     #[case] now_ms: u64,
-    #[case] is_asked: bool,
+    #[case] is_probed: bool,
 ) {
     let (old, new) = (entry("i-1", "kariakoo"), entry("i-2", "kariakoo"));
     let mut set = support::set(std::slice::from_ref(&old));
@@ -256,7 +256,7 @@
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let is_connected = |other: &UpstreamId| other.as_str() == "i-1";
     let service = "parts".parse().unwrap();
-    let mut ask = || set.to_ask(now_ms, &service, &[], (1, Reach::Near), is_connected, &mut rng);
-    let asked = (0..50).filter(|_| ask() == [id("i-2")]).count();
-    assert_eq!(asked > 10, is_asked, "{asked} of 50");
+    let mut probe = || set.to_ask(now_ms, &service, &[], (1, Reach::Near), is_connected, &mut rng);
+    let count = (0..50).filter(|_| probe() == [id("i-2")]).count();
+    assert_eq!(count > 10, is_probed, "{count} of 50");
 }
--- a/crates/dispatch/tests/deadline.rs
+++ b/crates/dispatch/tests/deadline.rs
@@ -1,10 +1,10 @@
-//! Which offers are taken.
+//! Verdicts on latency estimates.
 
 use dispatch::{DeadlineCheck, LatencyEstimate, Verdict};
 use domain::Millis;
 use rstest::rstest;
 
-/// A request that came at 1000, with 400 ms to be in time and 1200 ms in all.
+/// A request that arrived at 1000 ms, with an objective of 400 ms and a deadline of 1200 ms.
 const REQUEST: DeadlineCheck =
     DeadlineCheck { arrived_ms: Millis(1_000), objective_ms: Millis(400), end_ms: Millis(2_200) };
 
@@ -15,7 +15,7 @@
 #[case::late_at_the_end(1_080, Some(380), Verdict::Send)]
 #[case::far_too_late(1_080, Some(700), Verdict::Refuse)]
 #[case::nothing_known(1_080, None, Verdict::Send)]
-fn weighs(#[case] now: u64, #[case] expected: Option<u64>, #[case] wanted: Verdict) {
+fn verdict_by_estimate(#[case] now: u64, #[case] expected: Option<u64>, #[case] wanted: Verdict) {
     let estimate = LatencyEstimate { expected_ms: expected.map(Millis) };
     assert_eq!(REQUEST.check(Millis(now), estimate), wanted);
 }
--- a/crates/dispatch/tests/restart.rs
+++ b/crates/dispatch/tests/restart.rs
@@ -1,4 +1,4 @@
-//! What is known of an upstream ends with its run.
+//! The state of an upstream ends with its run.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -18,7 +18,7 @@
 const LATER: RunStart = RunStart(Some(Millis(200)));
 const NOW: Millis = Millis(10_000);
 
-/// An upstream of which all kinds of things are known, and which then started again.
+/// An upstream with state of all kinds that has restarted.
 fn restarted() -> UpstreamSet {
     let mut set = set(&[of_run("i-1", 100)]);
     set.note_report(NOW, (&id("i-1"), FORMER), report(5, 2, 400));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn nothing_is_kept_of_the_former_run() {
+fn state_of_the_former_run_is_dropped() {
     let set = restarted();
     let known = set.get(&id("i-1")).unwrap();
     assert_eq!(known.open(), 0);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn what_was_begun_with_the_former_run_says_nothing_of_the_next() {
+fn results_from_the_former_run_do_not_affect_the_next() {
     let mut set = restarted();
     set.get_mut(&id("i-1")).unwrap().note_sent(NOW);
     assert!(set.get_run_mut(&id("i-1"), FORMER).is_none());
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn entries_without_a_start_are_of_one_run() {
+fn entries_without_a_run_start_count_as_the_same_run() {
     let mut set = set(&[of_run("i-1", 100)]);
     set.get_mut(&id("i-1")).unwrap().note_sent(NOW);
     set.sync(NOW, [support::entry("i-1", "kariakoo")].iter(), &Evacuations::default());
@@ -63,20 +63,20 @@
 }
 
 #[test]
-fn a_request_that_ends_at_the_former_run_leaves_the_slots_of_the_next_alone() {
+fn a_request_that_ends_at_the_former_run_frees_no_slot_of_the_next() {
     let mut upstreams = set(&[of_run("i-1", 100)]);
     let mut schedulers = SchedulerSet::new("front-1".parse().unwrap());
     let mut rng = Pcg64Mcg::seed_from_u64(7);
     let requester = Requester::Peer("127.0.0.1:7000".parse().unwrap());
-    let mut take = |upstreams: &mut UpstreamSet, message| {
+    let mut handle = |upstreams: &mut UpstreamSet, message| {
         schedulers.handle_message(NOW, message, requester, upstreams, &mut rng)
     };
     upstreams.note_report(NOW, (&id("i-1"), FORMER), report(0, 0, 100));
-    take(&mut upstreams, submit(1));
+    handle(&mut upstreams, submit(1));
     assert_eq!(upstreams.get(&id("i-1")).unwrap().open(), 1);
     upstreams.sync(NOW, [of_run("i-1", 200)].iter(), &Evacuations::default());
     upstreams.note_report(NOW, (&id("i-1"), LATER), report(0, 0, 100));
-    take(&mut upstreams, submit(2));
+    handle(&mut upstreams, submit(2));
     assert_eq!(upstreams.get(&id("i-1")).unwrap().open(), 1);
     let outcome = Outcome {
         failure: Some(SendFailure::Broken),
@@ -84,12 +84,12 @@
         report: Some(report(6, 9, 700)),
         backpressure: Backpressure::default(),
     };
-    let effects = take(&mut upstreams, PlacementMessage::Ended { ticket: Ticket(1), outcome });
+    let effects = handle(&mut upstreams, PlacementMessage::Ended { ticket: Ticket(1), outcome });
     assert!(effects.iter().all(|effect| !matches!(effect, Effect::Probe(_))), "{effects:?}");
     let known = upstreams.get(&id("i-1")).unwrap();
     assert_eq!((known.open(), known.failure_share(NOW)), (1, 0.0));
     assert_eq!(known.report(NOW).unwrap().0.running, 0);
-    take(
+    handle(
         &mut upstreams,
         PlacementMessage::Withdrawn { ticket: Ticket(2), withdrawal: Withdrawal::Sent },
     );
--- a/crates/dispatch/tests/split.rs
+++ b/crates/dispatch/tests/split.rs
@@ -1,4 +1,4 @@
-//! Split routes keep their shares.
+//! Weights of split routes.
 #![allow(clippy::unwrap_used)]
 
 use dispatch::SplitTable;
@@ -16,7 +16,7 @@
     weights.iter().enumerate().map(destination).collect()
 }
 
-/// Requests of each part, from so many hosts with so many requests each.
+/// Requests per destination, over several hosts with their own tables.
 fn shares(weights: &[u32], hosts: u64, requests: usize) -> Vec<usize> {
     let split = split(weights);
     let mut counts = vec![0; weights.len()];
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn other_weights_take_effect_at_once() {
+fn changed_weights_take_effect_at_once() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut table = SplitTable::default();
     for _ in 0..10 {
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn an_empty_split_goes_nowhere() {
+fn an_empty_split_has_no_service() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     assert_eq!(SplitTable::default().next_service("r", &[], &mut rng), None);
 }
--- a/crates/dispatch/tests/subset.rs
+++ b/crates/dispatch/tests/subset.rs
@@ -1,4 +1,4 @@
-//! Each host has a subset of many upstreams; together they cover all.
+//! Each host probes a subset of many upstreams; together the subsets cover all.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -20,7 +20,7 @@
     ZONES.into_iter().flat_map(each).collect()
 }
 
-/// How many hosts have each upstream among those they ask by preference.
+/// The number of hosts that have each upstream in their subsets.
 fn coverage(hosts_per_zone: usize, entries: &[Entry<Arc<Upstream>>]) -> FastMap<String, usize> {
     let mut counts: FastMap<String, usize> = FastMap::default();
     for zone in ZONES {
@@ -29,7 +29,7 @@
             let mut set = UpstreamSet::new(name.parse().unwrap(), zone.parse().unwrap());
             set.sync(Millis::ZERO, entries.iter(), &Evacuations::default());
             let mut rng = Pcg64Mcg::seed_from_u64(host as u64);
-            let asked = set.to_ask(
+            let probed = set.to_ask(
                 Millis(1),
                 &"parts".parse().unwrap(),
                 &[],
@@ -37,7 +37,7 @@
                 |_| false,
                 &mut rng,
             );
-            for id in asked {
+            for id in probed {
                 *counts.entry(id.to_string()).or_default() += 1;
             }
         }
@@ -59,7 +59,7 @@
 #[case::a_zone_that_fills_a_subset(12, 6)]
 #[case::many(33, 41)]
 #[case::small_zones(5, 41)]
-fn hosts_that_share_an_upstream_are_not_underrated(
+fn the_number_of_probing_hosts_is_not_underestimated(
     #[case] per_zone: usize,
     #[case] hosts_per_zone: usize,
 ) {
@@ -70,7 +70,7 @@
         UpstreamSet::new("front-kariakoo-0".parse().unwrap(), "kariakoo".parse().unwrap());
     set.sync(Millis::ZERO, entries.iter(), &Evacuations::default());
     let mut rng = Pcg64Mcg::seed_from_u64(0);
-    let asked = set.to_ask(
+    let probed = set.to_ask(
         Millis(1),
         &"parts".parse().unwrap(),
         &[],
@@ -80,12 +80,12 @@
     );
     let hosts = u32::try_from(hosts_per_zone).unwrap();
     let fleet = FleetSize { hosts: hosts * 3, hosts_in_zone: hosts };
-    let sharing = set.probing_hosts(&"parts".parse().unwrap(), &asked[0], fleet);
-    assert!(sharing >= mean * 0.9, "{sharing} of {mean}");
+    let probing = set.probing_hosts(&"parts".parse().unwrap(), &probed[0], fleet);
+    assert!(probing >= mean * 0.9, "{probing} of {mean}");
 }
 
 #[test]
-fn an_upstream_that_joins_is_asked_by_some_hosts() {
+fn a_new_upstream_is_in_some_subsets() {
     let mut entries = upstreams(33);
     entries.push(entry("newcomer", "temeke"));
     assert!(coverage(41, &entries).get("newcomer").is_some_and(|&hosts| hosts >= 3));
