--- a/crates/dispatch/src/cost.rs
+++ b/crates/dispatch/src/cost.rs
@@ -7,7 +7,7 @@
 use crate::curve::SpeedCurve;
 use crate::load::MIN_SLOWNESS;
 use crate::service_load::ServiceLoad;
-use crate::upstream::Known;
+use crate::upstream::UpstreamState;
 use domain::{Millis, UpstreamId};
 
 /// Added for an upstream in another availability zone: traffic between zones is paid for and
@@ -47,9 +47,9 @@
 }
 
 /// Estimates the cost of sending a request to an upstream now.
-pub fn estimate_cost(known: &Known, inputs: CostInputs<'_>) -> Candidate {
+pub fn estimate_cost(known: &UpstreamState, inputs: CostInputs<'_>) -> Candidate {
     let slots = f64::from(known.entry.slots.0.max(1));
-    let running = known.occupied(inputs.now_ms, inputs.load) + 1.0;
+    let running = known.estimated_requests(inputs.now_ms, inputs.load) + 1.0;
     let wait = ((running - slots) / slots).max(0.0);
     let cold_factor = match known.warmth(inputs.now_ms) {
         Warmth::Warm => 1.0,
@@ -58,7 +58,7 @@
     let slowness = known.slowness(inputs.now_ms, inputs.load).max(MIN_SLOWNESS) * cold_factor;
     let work = slowness * (1.0 / inputs.curve.speed(running) + wait);
     let occupancy_cost = slowness * OCCUPANCY_WEIGHT * (running / slots).min(1.0);
-    let failure_factor = 1.0 + FAILURE_WEIGHT * known.failure_share(inputs.now_ms);
+    let failure_factor = 1.0 + FAILURE_WEIGHT * known.failure_rate(inputs.now_ms);
     let zone_cost = if inputs.is_other_zone { OTHER_ZONE_COST } else { 0.0 };
     Candidate {
         upstream: known.entry.id.clone(),
--- a/crates/dispatch/src/probing.rs
+++ b/crates/dispatch/src/probing.rs
@@ -1,6 +1,6 @@
 //! Limits of a host that probes upstreams by itself, without a scheduler.
 
-use crate::upstream_set::Reach;
+use crate::upstream_set::ZoneScope;
 
 /// Upstreams that are probed at once before a request is sent.
 pub const PROBES_PER_ROUND: usize = 3;
@@ -12,8 +12,10 @@
 pub const IMMEDIATE_COST: f64 = 1.2;
 
 /// Probes of each round: the local zone first, then mostly other zones.
-pub const PROBE_ROUNDS: [&[(usize, Reach)]; 2] =
-    [&[(PROBES_PER_ROUND, Reach::Near)], &[(PROBES_PER_ROUND - 1, Reach::Far), (1, Reach::Near)]];
+pub const PROBE_ROUNDS: [&[(usize, ZoneScope)]; 2] = [
+    &[(PROBES_PER_ROUND, ZoneScope::Local)],
+    &[(PROBES_PER_ROUND - 1, ZoneScope::Other), (1, ZoneScope::Local)],
+];
 
 /// Added for an upstream that reports itself unhealthy. It stays the last resort, as the report may
 /// be false.
--- a/crates/dispatch/src/scheduler/message.rs
+++ b/crates/dispatch/src/scheduler/message.rs
@@ -1,8 +1,8 @@
 //! Messages between hosts and schedulers.
 
 use super::{Submission, Ticket};
-use crate::backpressure::{AnswerKind, Backpressure};
-use crate::{LoadReport, SendFailure};
+use crate::backpressure::{Backpressure, ResponseKind};
+use crate::{AttemptFailure, LoadReport};
 use domain::{Millis, UpstreamId};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -92,7 +92,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Outcome {
     /// The failure, if it failed.
-    pub failure: Option<SendFailure>,
+    pub failure: Option<AttemptFailure>,
     /// Time that it took at the upstream.
     pub took_ms: Millis,
     /// Load reported with the response.
@@ -103,10 +103,10 @@
 
 impl Outcome {
     /// What the result says about the upstream for backpressure.
-    pub fn answer_kind(&self) -> AnswerKind {
+    pub fn answer_kind(&self) -> ResponseKind {
         match self.failure {
-            None => AnswerKind::Served,
-            Some(_) => AnswerKind::Failed,
+            None => ResponseKind::Served,
+            Some(_) => ResponseKind::Failed,
         }
     }
 }
--- a/crates/dispatch/src/scheduler/placed.rs
+++ b/crates/dispatch/src/scheduler/placed.rs
@@ -5,7 +5,7 @@
 use crate::cold::Warmth;
 use crate::cost::Candidate;
 use crate::curve::Occupancy;
-use crate::upstream::Known;
+use crate::upstream::UpstreamState;
 use domain::{FastMap, Millis, UpstreamId};
 use published::RunStart;
 
@@ -53,10 +53,10 @@
         now_ms: Millis,
         request: &QueuedRequest,
         candidate: &Candidate,
-        known: &Known,
+        known: &UpstreamState,
     ) {
         let at = (&candidate.upstream, known.entry.run);
-        self.add_time(now_ms, at, known.open() - 1);
+        self.add_time(now_ms, at, known.in_flight() - 1);
         let placed = Placed {
             upstream: candidate.upstream.clone(),
             run: known.entry.run,
@@ -65,7 +65,7 @@
             slowness: fresh_report(known, now_ms)
                 .filter(|_| known.warmth(now_ms) == Warmth::Warm)
                 .map(|report| report.slowness()),
-            occupancy: Occupancy::new(known.open()),
+            occupancy: Occupancy::new(known.in_flight()),
             occupancy_until_ms: now_ms,
             expires_ms: request.end_ms + EXPIRE_AFTER_MS,
         };
--- a/crates/dispatch/src/scheduler/placement_rates.rs
+++ b/crates/dispatch/src/scheduler/placement_rates.rs
@@ -2,9 +2,9 @@
 
 use super::fresh_report::fresh_report;
 use super::{Cell, Requester};
-use crate::fleet_rate::{Lenders, Lent, RateBudget};
+use crate::fleet_rate::{Lenders, LentShares, RateBudget};
 use crate::subset::FleetSize;
-use crate::upstream::Known;
+use crate::upstream::UpstreamState;
 use crate::upstream_set::UpstreamSet;
 use domain::{HostId, Millis, UpstreamId};
 
@@ -28,7 +28,7 @@
 
     /// Records that a host submitted a request of a cell and lends this host its share.
     pub(super) fn record_lent_share(&mut self, now_ms: Millis, cell: &Cell, requester: Requester) {
-        self.lenders.note(now_ms, cell, requester);
+        self.lenders.record(now_ms, cell, requester);
     }
 
     /// Drops shares that are no longer lent, and upstreams without a rate limit.
@@ -42,29 +42,29 @@
         &mut self,
         now_ms: Millis,
         id: &UpstreamId,
-        lent: Lent,
+        lent: LentShares,
         upstreams: &UpstreamSet,
     ) {
         if let (Some(limit), Some(known)) = (upstreams.fleet_rate(now_ms, id), upstreams.get(id)) {
-            self.budget.take(now_ms, id, limit, confirmed_share(known, now_ms, lent));
+            self.budget.spend(now_ms, id, limit, confirmed_share(known, now_ms, lent));
         }
     }
 
     /// The shares lent to the scheduler of a cell.
-    pub(super) fn lent_shares(&self, now_ms: Millis, cell: &Cell, is_primary: bool) -> Lent {
+    pub(super) fn lent_shares(&self, now_ms: Millis, cell: &Cell, is_primary: bool) -> LentShares {
         let lenders = f64::from(self.lenders.count(now_ms, cell));
         let part = |of: u32| (lenders / f64::from(of.max(1))).min(1.0);
         let hosts = if cell.zone.is_some() { self.fleet.hosts_in_zone } else { self.fleet.hosts };
-        Lent { of_fleet: part(self.fleet.hosts), of_cell: part(hosts), is_primary }
+        LentShares { of_fleet: part(self.fleet.hosts), of_cell: part(hosts), is_primary }
     }
 }
 
 /// Share of the fleet's rate that may be spent on an upstream.
-pub(super) fn confirmed_share(known: &Known, now_ms: Millis, lent: Lent) -> f64 {
-    lent.spendable(fresh_report(known, now_ms).is_some() && known.others() < 0.5)
+pub(super) fn confirmed_share(known: &UpstreamState, now_ms: Millis, lent: LentShares) -> f64 {
+    lent.spendable(fresh_report(known, now_ms).is_some() && known.other_requests() < 0.5)
 }
 
 /// The same, assuming no requests of other hosts if there is no fresh report.
-pub(super) fn optimistic_share(known: &Known, now_ms: Millis, lent: Lent) -> f64 {
-    lent.spendable(fresh_report(known, now_ms).is_none() || known.others() < 0.5)
+pub(super) fn optimistic_share(known: &UpstreamState, now_ms: Millis, lent: LentShares) -> f64 {
+    lent.spendable(fresh_report(known, now_ms).is_none() || known.other_requests() < 0.5)
 }
--- a/crates/dispatch/src/scheduler/set.rs
+++ b/crates/dispatch/src/scheduler/set.rs
@@ -95,7 +95,7 @@
                 if let Some(scheduler) = &mut scheduler {
                     let upstream = scheduler.withdraw(now_ms, key, withdrawal, upstreams);
                     if let Some(upstream) = upstream.filter(|_| withdrawal != Withdrawal::Sent) {
-                        self.rates.budget.give_back(&upstream);
+                        self.rates.budget.refund(&upstream);
                     }
                 }
                 scheduler
--- a/crates/dispatch/src/service.rs
+++ b/crates/dispatch/src/service.rs
@@ -73,8 +73,8 @@
         self.curves.iter().find(|curve| curve.slots() == slots)
     }
 
-    pub(crate) fn note_report(&mut self, report: &LoadReport, open: u32) {
-        self.load.record(report, open);
+    pub(crate) fn record_report(&mut self, report: &LoadReport, in_flight: u32) {
+        self.load.record(report, in_flight);
     }
 
     /// Records the duration of a response where only the expected work is known.
--- a/crates/dispatch/src/subset.rs
+++ b/crates/dispatch/src/subset.rs
@@ -6,7 +6,7 @@
 //! hashing: hosts that join or leave change few subsets, and a new upstream is at once in those of
 //! some hosts.
 
-use crate::upstream::Known;
+use crate::upstream::UpstreamState;
 use domain::{FastMap, FastSet, HostId, UpstreamId, ZoneName};
 use published::{Eligibility, PreferredCounts, preferred_upstreams};
 
@@ -46,10 +46,10 @@
         host: &HostId,
         zone: &ZoneName,
         upstreams: &[UpstreamId],
-        known: &FastMap<UpstreamId, Known>,
+        known: &FastMap<UpstreamId, UpstreamState>,
     ) -> Subset {
         // Evacuated upstreams would take the place of usable ones.
-        let is_usable = |known: &&Known| known.eligibility != Eligibility::ZoneEvacuated;
+        let is_usable = |known: &&UpstreamState| known.eligibility != Eligibility::ZoneEvacuated;
         let usable = || upstreams.iter().filter_map(|id| known.get(id)).filter(is_usable);
         let entries = || usable().map(|known| &*known.entry);
         let usable_upstreams = usable().count();
--- a/crates/dispatch/tests/scheduler.rs
+++ b/crates/dispatch/tests/scheduler.rs
@@ -8,7 +8,7 @@
     Cell, Effect, Outcome, PlacementMessage, RefusalCause, Requester, SchedulerSet, Submission,
     Ticket, Withdrawal,
 };
-use dispatch::{AskFailure, LoadReport, SendFailure, UpstreamSet};
+use dispatch::{AttemptFailure, LoadReport, ProbeFailure, UpstreamSet};
 use domain::{Millis, UpstreamId};
 use published::{Entry, Evacuations, Revision, RunStart};
 use rand::SeedableRng;
@@ -49,7 +49,7 @@
     }
 
     fn report(&mut self, upstream: &str, reported: LoadReport) -> Vec<Effect> {
-        self.upstreams.note_report(self.now_ms, (&id(upstream), RunStart::default()), reported);
+        self.upstreams.record_report(self.now_ms, (&id(upstream), RunStart::default()), reported);
         self.schedule()
     }
 
@@ -80,7 +80,12 @@
         (ticket, self.handle(PlacementMessage::Submit(submission)))
     }
 
-    fn end(&mut self, ticket: Ticket, failure: Option<SendFailure>, took_ms: u64) -> Vec<Effect> {
+    fn end(
+        &mut self,
+        ticket: Ticket,
+        failure: Option<AttemptFailure>,
+        took_ms: u64,
+    ) -> Vec<Effect> {
         let outcome = Outcome {
             failure,
             took_ms: Millis(took_ms),
@@ -220,7 +225,7 @@
         let tickets: Vec<Ticket> = (0..7).map(|_| harness.submit().0).collect();
         harness.advance(7);
         harness.schedule();
-        let open = harness.upstreams.get(&id("i-1")).unwrap().open();
+        let open = harness.upstreams.get(&id("i-1")).unwrap().in_flight();
         most = open;
         harness.advance(93);
         for ticket in tickets {
@@ -328,7 +333,7 @@
 #[case::unreachable(|harness: &mut Harness| {
     let now_ms = harness.now_ms;
     let known = harness.upstreams.get_mut(&id("i-1")).unwrap();
-    known.note_ask_failed(now_ms, AskFailure::Unreachable);
+    known.record_probe_failure(now_ms, ProbeFailure::Unreachable);
 })]
 fn an_idle_but_faulty_upstream_gets_nothing_while_others_are_full(
     #[case] disable: fn(&mut Harness),
@@ -350,8 +355,8 @@
     for _ in 0..6 {
         let now_ms = harness.now_ms;
         let known = harness.upstreams.get_mut(&id(upstream)).unwrap();
-        known.note_sent(Millis::ZERO);
-        known.note_ended(now_ms, Some(SendFailure::ErrorAnswer));
+        known.record_sent(Millis::ZERO);
+        known.record_ended(now_ms, Some(AttemptFailure::ErrorResponse));
     }
 }
 
@@ -372,9 +377,9 @@
     let mut harness = Harness::new(&["i-1"]);
     harness.report("i-1", report(0, 0, 100));
     let (ticket, _) = harness.submit();
-    assert_eq!(harness.upstreams.get(&id("i-1")).unwrap().open(), 1);
+    assert_eq!(harness.upstreams.get(&id("i-1")).unwrap().in_flight(), 1);
     harness.handle(PlacementMessage::Withdrawn { ticket, withdrawal: Withdrawal::Sent });
-    assert_eq!(harness.upstreams.get(&id("i-1")).unwrap().open(), 0);
+    assert_eq!(harness.upstreams.get(&id("i-1")).unwrap().in_flight(), 0);
 }
 
 #[test]
@@ -386,11 +391,11 @@
     for _ in 0..2 {
         harness.handle(PlacementMessage::Submit(submission.clone()));
     }
-    assert_eq!(harness.upstreams.get(&id("i-1")).unwrap().open(), 1);
+    assert_eq!(harness.upstreams.get(&id("i-1")).unwrap().in_flight(), 1);
     for _ in 0..2 {
         harness.end(ticket, None, 100);
     }
-    assert_eq!(harness.upstreams.get(&id("i-1")).unwrap().open(), 0);
+    assert_eq!(harness.upstreams.get(&id("i-1")).unwrap().in_flight(), 0);
 }
 
 #[test]
@@ -400,7 +405,7 @@
     harness.submit();
     harness.advance(1_400);
     harness.schedule();
-    assert_eq!(harness.upstreams.get(&id("i-1")).unwrap().open(), 0);
+    assert_eq!(harness.upstreams.get(&id("i-1")).unwrap().in_flight(), 0);
 }
 
 #[test]
--- a/crates/dispatch/tests/subset.rs
+++ b/crates/dispatch/tests/subset.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use dispatch::{FleetSize, LOCAL_ZONE_UPSTREAMS, OTHER_ZONE_UPSTREAMS, Reach, UpstreamSet};
+use dispatch::{FleetSize, LOCAL_ZONE_UPSTREAMS, OTHER_ZONE_UPSTREAMS, UpstreamSet, ZoneScope};
 use domain::{FastMap, Millis};
 use published::{Entry, Evacuations, Upstream};
 use rand::SeedableRng;
@@ -29,11 +29,11 @@
             let mut set = UpstreamSet::new(name.parse().unwrap(), zone.parse().unwrap());
             set.sync(Millis::ZERO, entries.iter(), &Evacuations::default());
             let mut rng = Pcg64Mcg::seed_from_u64(host as u64);
-            let probed = set.to_ask(
+            let probed = set.choose_probe_targets(
                 Millis(1),
                 &"parts".parse().unwrap(),
                 &[],
-                (LOCAL_ZONE_UPSTREAMS + OTHER_ZONE_UPSTREAMS, Reach::Near),
+                (LOCAL_ZONE_UPSTREAMS + OTHER_ZONE_UPSTREAMS, ZoneScope::Local),
                 |_| false,
                 &mut rng,
             );
@@ -70,11 +70,11 @@
         UpstreamSet::new("front-kariakoo-0".parse().unwrap(), "kariakoo".parse().unwrap());
     set.sync(Millis::ZERO, entries.iter(), &Evacuations::default());
     let mut rng = Pcg64Mcg::seed_from_u64(0);
-    let probed = set.to_ask(
+    let probed = set.choose_probe_targets(
         Millis(1),
         &"parts".parse().unwrap(),
         &[],
-        (1, Reach::Near),
+        (1, ZoneScope::Local),
         |_| false,
         &mut rng,
     );
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -10,7 +10,7 @@
 use crate::fleet_message;
 use crate::host::Host;
 use crate::peers::codec::Datagram;
-use dispatch::quarantine::{Changed, Crash, QuarantineMessage};
+use dispatch::quarantine::{Crash, QuarantineMessage, SuspectChange};
 use domain::{Millis, RequestFingerprint, UpstreamId};
 use published::{Eligibility, RunStart, Upstream};
 use std::io::ErrorKind;
@@ -43,7 +43,7 @@
     tokio::task::spawn_local(async move {
         let looking = has_crashed(&host, &broken.upstream);
         let has_crashed = clock::timeout(LOOK, looking).await.unwrap_or(false);
-        host.metrics.broke_off(has_crashed);
+        host.metrics.upstream_broke_off(has_crashed);
         if has_crashed {
             note_crash(&host, broken);
         }
@@ -58,7 +58,7 @@
         EntryState::Leaving => return false,
         EntryState::Ready => {}
     }
-    host.metrics.connected();
+    host.metrics.connection_opened();
     match Connection::open(entry.address, LOOK).await {
         Ok(connection) => {
             host.pool.borrow_mut().put(&entry.id, connection.belonging_to(entry.run));
@@ -104,7 +104,7 @@
         sent_ms: broken.sent_ms,
         crashed_ms: broken.broke_ms,
     };
-    let changed = host.quarantine.borrow_mut().note_crash(broken.fingerprint, crash);
+    let changed = host.quarantine.borrow_mut().record_crash(broken.fingerprint, crash);
     announce(host, changed);
     tell_fleet(host);
 }
@@ -116,7 +116,7 @@
 
 /// A request that an upstream crashed under got its final answer.
 pub fn note_over(host: &Host, fingerprint: RequestFingerprint) {
-    host.quarantine.borrow_mut().note_over(fingerprint);
+    host.quarantine.borrow_mut().record_final_answer(fingerprint);
     tell_fleet(host);
 }
 
@@ -129,7 +129,7 @@
 /// A trial of this host ended.
 pub fn end_trial(host: &Host, fingerprint: RequestFingerprint) {
     host.quarantine.borrow_mut().end_trial(fingerprint);
-    host.quarantine_news.notify_waiters();
+    host.quarantine_changed.notify_waiters();
 }
 
 /// An operator lifts the verdict on a request; false if there is none.
@@ -147,65 +147,65 @@
 }
 
 /// What is due now and then: forgets, and offers a peer what it may have missed.
-pub fn turn(host: &Host) {
+pub fn run_maintenance(host: &Host) {
     let now_ms = host.now_ms();
-    host.quarantine.borrow_mut().settle(now_ms);
-    let Some(digest) = host.quarantine.borrow_mut().offer(now_ms) else { return };
-    let offer = Datagram::Quarantine(QuarantineMessage::Offer { digest });
-    fleet_message::tell_some(host, &offer, 1);
+    host.quarantine.borrow_mut().expire(now_ms);
+    let Some(digest) = host.quarantine.borrow_mut().digest_if_due(now_ms) else { return };
+    let offer = Datagram::Quarantine(QuarantineMessage::Digest { digest });
+    fleet_message::send_to_random_peers(host, &offer, 1);
 }
 
 /// Peers were heard of. After the start they are asked for what this host missed, a few times only:
 /// hundreds of hosts that start together hear of each other in dozens of messages.
-pub fn note_peers(host: &Host) {
-    let asked = host.quarantine_asks.get();
-    if asked < fleet_message::START_ASKS && host.quarantine.borrow().is_empty() {
-        host.quarantine_asks.set(asked + 1);
-        ask_peers(host);
+pub fn catch_up_after_start(host: &Host) {
+    let asked = host.quarantine_requests_sent.get();
+    if asked < fleet_message::START_REQUESTS && host.quarantine.borrow().is_empty() {
+        host.quarantine_requests_sent.set(asked + 1);
+        request_from_peers(host);
     }
 }
 
 /// Asks some peers for what this host missed: it has just started, or stood still.
-pub fn ask_peers(host: &Host) {
+pub fn request_from_peers(host: &Host) {
     let digest = host.quarantine.borrow().digest();
-    let ask = Datagram::Quarantine(QuarantineMessage::Ask { digest });
-    fleet_message::ask_some(host, &ask);
+    let ask = Datagram::Quarantine(QuarantineMessage::Request { digest });
+    fleet_message::request_from_random_peers(host, &ask);
 }
 
 /// Takes a peer's message; true if the peer waits to hear that this host is there.
-pub fn take(host: &Host, message: QuarantineMessage, from: SocketAddr) -> bool {
+pub fn handle_message(host: &Host, message: QuarantineMessage, from: SocketAddr) -> bool {
     let now_ms = host.now_ms();
     let own_digest = host.quarantine.borrow().digest();
     match message {
-        QuarantineMessage::Suspects { suspects, passes_on } => {
-            if passes_on {
+        QuarantineMessage::Suspects { suspects, should_relay } => {
+            if should_relay {
                 let passed =
-                    QuarantineMessage::Suspects { suspects: suspects.clone(), passes_on: false };
-                fleet_message::pass_on(host, &Datagram::Quarantine(passed));
+                    QuarantineMessage::Suspects { suspects: suspects.clone(), should_relay: false };
+                fleet_message::forward_in_zone(host, &Datagram::Quarantine(passed));
             }
-            let changed = host.quarantine.borrow_mut().take(now_ms, suspects);
+            let changed = host.quarantine.borrow_mut().merge(now_ms, suspects);
             announce(host, changed);
             tell_fleet(host);
-            return passes_on;
+            return should_relay;
         }
-        QuarantineMessage::Offer { digest } if digest != own_digest => {
-            send(host, QuarantineMessage::Ask { digest: own_digest }, from);
+        QuarantineMessage::Digest { digest } if digest != own_digest => {
+            send(host, QuarantineMessage::Request { digest: own_digest }, from);
         }
-        QuarantineMessage::Ask { digest } if digest != own_digest => {
-            let suspects = host.quarantine.borrow().tell(now_ms);
-            send(host, QuarantineMessage::Suspects { suspects, passes_on: false }, from);
+        QuarantineMessage::Request { digest } if digest != own_digest => {
+            let suspects = host.quarantine.borrow().export(now_ms);
+            send(host, QuarantineMessage::Suspects { suspects, should_relay: false }, from);
         }
-        QuarantineMessage::Offer { .. } | QuarantineMessage::Ask { .. } => {}
+        QuarantineMessage::Digest { .. } | QuarantineMessage::Request { .. } => {}
     }
     false
 }
 
 fn tell_fleet(host: &Host) {
-    let untold = host.quarantine.borrow_mut().take_untold(host.now_ms());
+    let untold = host.quarantine.borrow_mut().take_pending(host.now_ms());
     let Some(suspects) = untold else { return };
-    fleet_message::tell_fleet(host, |passes_on| {
+    fleet_message::broadcast(host, |should_relay| {
         let suspects = suspects.clone();
-        Datagram::Quarantine(QuarantineMessage::Suspects { suspects, passes_on })
+        Datagram::Quarantine(QuarantineMessage::Suspects { suspects, should_relay })
     });
 }
 
@@ -214,13 +214,13 @@
 }
 
 /// Tells operators, and whoever waits for what comes of a trial.
-fn announce(host: &Host, changed: impl IntoIterator<Item = Changed>) {
+fn announce(host: &Host, changed: impl IntoIterator<Item = SuspectChange>) {
     let now_ms = host.now_ms();
     for changed in changed {
-        host.quarantine_news.notify_waiters();
+        host.quarantine_changed.notify_waiters();
         host.log.write(&LogEvent::Quarantine {
             fingerprint: changed.fingerprint,
-            change: changed.change,
+            change: changed.status,
             crashes: changed.crashes.len(),
             upstreams: changed.crashes.iter().map(|crash| &crash.upstream).collect(),
             seen_by: changed.crashes.iter().map(|crash| &crash.seen_by).collect(),
