--- a/crates/dispatch/src/attempts.rs
+++ b/crates/dispatch/src/attempts.rs
@@ -8,7 +8,7 @@
 use published::Idempotency;
 use serde::Serialize;
 
-/// Less time than this is not worth another attempt.
+/// Time left below which another attempt is not worthwhile.
 const MIN_RETRY_TIME_MS: Millis = Millis(20);
 
 /// Attempts beyond the route's limit for a request that provably did not run.
@@ -29,7 +29,7 @@
     Broken,
 }
 
-/// What decides about a whole response.
+/// The facts about a complete response that decide what follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct ResponseSummary {
     /// HTTP status.
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptState {
     /// Whether it may run more than once.
-    pub repeat: Idempotency,
+    pub idempotency: Idempotency,
     /// Upstreams that it may have run on, including in this attempt.
     pub may_have_run: u32,
     /// Attempts so far.
@@ -170,14 +170,18 @@
     }
 
     /// For exhausted rate limits, until upstreams accept the next request.
-    pub fn rate_limited(free_in_ms: Millis) -> Refusal {
-        let retry_after_ms = Some(free_in_ms.max(DEFAULT_RETRY_AFTER_MS));
+    pub fn rate_limited(next_request_in_ms: Millis) -> Refusal {
+        let retry_after_ms = Some(next_request_in_ms.max(DEFAULT_RETRY_AFTER_MS));
         Refusal { cause: Cause::UpstreamsLimited, is_not_run: true, retry_after_ms }
     }
 
     /// For a quarantined request, until it may be tried again.
-    pub fn quarantined(for_ms: Millis) -> Refusal {
-        Refusal { cause: Cause::CrashesUpstreams, is_not_run: true, retry_after_ms: Some(for_ms) }
+    pub fn quarantined(remaining_ms: Millis) -> Refusal {
+        Refusal {
+            cause: Cause::CrashesUpstreams,
+            is_not_run: true,
+            retry_after_ms: Some(remaining_ms),
+        }
     }
 
     /// For a request that may have run.
@@ -250,7 +254,7 @@
 }
 
 fn may_rerun(state: AttemptState) -> bool {
-    state.repeat == Idempotency::Idempotent
+    state.idempotency == Idempotency::Idempotent
         && state.may_have_run < state.max_attempts
         && state.left_ms > MIN_RETRY_TIME_MS
         && !state.is_budget_spent
--- a/crates/dispatch/src/cost.rs
+++ b/crates/dispatch/src/cost.rs
@@ -47,21 +47,21 @@
 }
 
 /// Estimates the cost of sending a request to an upstream now.
-pub fn estimate_cost(known: &UpstreamState, inputs: CostInputs<'_>) -> Candidate {
-    let slots = f64::from(known.entry.slots.0.max(1));
-    let running = known.estimated_requests(inputs.now_ms, inputs.load) + 1.0;
+pub fn estimate_cost(state: &UpstreamState, inputs: CostInputs<'_>) -> Candidate {
+    let slots = f64::from(state.entry.slots.0.max(1));
+    let running = state.estimated_requests(inputs.now_ms, inputs.load) + 1.0;
     let wait = ((running - slots) / slots).max(0.0);
-    let cold_factor = match known.warmth(inputs.now_ms) {
+    let cold_factor = match state.warmth(inputs.now_ms) {
         Warmth::Warm => 1.0,
         Warmth::Cold | Warmth::Unknown => COLD_SLOWNESS,
     };
-    let slowness = known.slowness(inputs.now_ms, inputs.load).max(MIN_SLOWNESS) * cold_factor;
+    let slowness = state.slowness(inputs.now_ms, inputs.load).max(MIN_SLOWNESS) * cold_factor;
     let work = slowness * (1.0 / inputs.curve.speed(running) + wait);
     let occupancy_cost = slowness * OCCUPANCY_WEIGHT * (running / slots).min(1.0);
-    let failure_factor = 1.0 + FAILURE_WEIGHT * known.failure_rate(inputs.now_ms);
+    let failure_factor = 1.0 + FAILURE_WEIGHT * state.failure_rate(inputs.now_ms);
     let zone_cost = if inputs.is_other_zone { OTHER_ZONE_COST } else { 0.0 };
     Candidate {
-        upstream: known.entry.id.clone(),
+        upstream: state.entry.id.clone(),
         work,
         cost: (work + occupancy_cost) * failure_factor + zone_cost,
     }
--- a/crates/dispatch/src/curve.rs
+++ b/crates/dispatch/src/curve.rs
@@ -4,8 +4,8 @@
 //! from service times: a scheduler knows for how long each request ran beside how many others.
 //! Samples are classified by the concurrency at a request's start, which its own duration can't
 //! have influenced; by the mean concurrency, short requests would seem to have run alone. Beyond
-//! the best concurrency, requests had better wait in the scheduler's queue than slow down all
-//! others.
+//! the best concurrency it is better to keep a request in the scheduler's queue than to slow down
+//! all others.
 
 use domain::Slots;
 
--- a/crates/dispatch/src/scheduler.rs
+++ b/crates/dispatch/src/scheduler.rs
@@ -127,10 +127,10 @@
     ) -> Option<UpstreamId> {
         self.waiting.retain(|request| request.key != key);
         let placed = self.placed.remove(now_ms, key)?;
-        if let Some(known) = upstreams.get_run_mut(&placed.upstream, placed.run) {
-            known.record_withdrawn();
+        if let Some(state) = upstreams.get_run_mut(&placed.upstream, placed.run) {
+            state.record_withdrawn();
             if withdrawal == Withdrawal::Unreachable {
-                known.record_probe_failure(now_ms, ProbeFailure::Unreachable);
+                state.record_probe_failure(now_ms, ProbeFailure::Unreachable);
             }
         }
         Some(placed.upstream)
@@ -147,12 +147,12 @@
         upstreams.record_forwarded_backpressure(
             now_ms,
             at,
-            outcome.answer_kind(),
+            outcome.response_kind(),
             outcome.backpressure,
         );
-        let Some(known) = upstreams.get_run_mut(&placed.upstream, placed.run) else { return };
-        known.record_ended(now_ms, outcome.failure);
-        let reports_load = known.report(now_ms).is_some();
+        let Some(state) = upstreams.get_run_mut(&placed.upstream, placed.run) else { return };
+        state.record_ended(now_ms, outcome.failure);
+        let reports_load = state.report(now_ms).is_some();
         if outcome.failure.is_none() {
             self.learn_service_time(placed, outcome, reports_load, upstreams);
         }
@@ -248,19 +248,20 @@
         upstreams: &mut UpstreamSet,
     ) -> Option<Effect> {
         let best = upstreams.curve(&candidate.upstream)?.best_concurrency();
-        let known = upstreams.get_mut(&candidate.upstream)?;
-        known.record_sent(now_ms);
-        match known.in_flight() > best {
+        let state = upstreams.get_mut(&candidate.upstream)?;
+        state.record_sent(now_ms);
+        match state.in_flight() > best {
             true => self.waited_since_trial = 0,
             false if request.has_waited(now_ms) => {
                 self.waited_since_trial = self.waited_since_trial.saturating_add(1);
             }
             false => {}
         }
-        self.placed.add(now_ms, request, &candidate, known);
-        let sent = self.last_sent.entry(request.key.requester).or_default();
-        sent.insert(candidate.upstream.clone(), LastSent { at_ms: now_ms, run: known.entry.run });
-        let report_age_ms = known.report(now_ms).map(|(_, age_ms)| age_ms);
+        self.placed.add(now_ms, request, &candidate, state);
+        let last_sent = self.last_sent.entry(request.key.requester).or_default();
+        last_sent
+            .insert(candidate.upstream.clone(), LastSent { at_ms: now_ms, run: state.entry.run });
+        let report_age_ms = state.report(now_ms).map(|(_, age_ms)| age_ms);
         let Candidate { upstream, work, cost } = candidate;
         let (work, cost) = (work as f32, cost as f32);
         Some(request.placed(Placement { upstream, work, cost, report_age_ms, ahead }))
--- a/crates/dispatch/src/scheduler/decision.rs
+++ b/crates/dispatch/src/scheduler/decision.rs
@@ -178,10 +178,10 @@
         inputs: DecisionInputs<'_>,
     ) -> Option<PlacementOption> {
         let DecisionInputs { now_ms, upstreams, .. } = inputs;
-        let (known, curve) = (upstreams.get(id)?, upstreams.curve(id)?);
-        let slots = known.entry.slots.0.max(1);
+        let (state, curve) = (upstreams.get(id)?, upstreams.curve(id)?);
+        let slots = state.entry.slots.0.max(1);
         let max_in_flight = curve.best_concurrency().saturating_add(excess).min(slots);
-        if known.in_flight() >= max_in_flight {
+        if state.in_flight() >= max_in_flight {
             return None;
         }
         let fleet_rate = upstreams.fleet_rate(now_ms, id);
@@ -189,15 +189,15 @@
             let may_send = |limit| inputs.budget.allows_request(now_ms, id, limit, share);
             fleet_rate.is_none_or(may_send)
         };
-        if !allows_request(optimistic_share(known, now_ms, inputs.lent)) {
+        if !allows_request(optimistic_share(state, now_ms, inputs.lent)) {
             return None;
         }
-        let may_place = allows_request(confirmed_share(known, now_ms, inputs.lent));
+        let may_place = allows_request(confirmed_share(state, now_ms, inputs.lent));
         let candidate = upstreams.estimate_cost_from(now_ms, id, &request.zone)?;
-        let is_fresh = fresh_report(known, now_ms).is_some();
+        let is_fresh = fresh_report(state, now_ms).is_some();
         // Other hosts' requests limit a placement by slots only, not by the best concurrency. Half
         // a request of tolerance, as their number is an estimate that decays.
-        let occupied = known.estimated_requests(now_ms, upstreams.load(&self.cell.service));
+        let occupied = state.estimated_requests(now_ms, upstreams.load(&self.cell.service));
         let has_room = may_place && occupied + 0.5 <= f64::from(slots);
         Some(PlacementOption { rank: candidate.cost, candidate, is_fresh, may_place, has_room })
     }
--- a/crates/dispatch/src/scheduler/forecast.rs
+++ b/crates/dispatch/src/scheduler/forecast.rs
@@ -53,12 +53,12 @@
         let baseline_ms = upstreams.expected_ms(&cell.service, 1.0);
         let load = upstreams.load(&cell.service);
         let throughput_per_ms = |id: &UpstreamId| {
-            let (known, curve) = (upstreams.get(id)?, upstreams.curve(id)?);
+            let (state, curve) = (upstreams.get(id)?, upstreams.curve(id)?);
             let best = f64::from(curve.best_concurrency());
-            let slowness = known.slowness(now_ms, load).max(MIN_SLOWNESS);
+            let slowness = state.slowness(now_ms, load).max(MIN_SLOWNESS);
             let done = best * curve.speed(best) / slowness / baseline_ms?.as_f64().max(1.0);
             let allowed_per_ms =
-                |limit: FleetRate| limit.rate.0 * optimistic_share(known, now_ms, lent) / 1_000.0;
+                |limit: FleetRate| limit.rate.0 * optimistic_share(state, now_ms, lent) / 1_000.0;
             Some(
                 upstreams
                     .fleet_rate(now_ms, id)
@@ -67,8 +67,8 @@
         };
         let throughput_per_ms = usable.iter().filter_map(throughput_per_ms).sum();
         let permits_in_ms = |id: &UpstreamId| {
-            let (known, limit) = (upstreams.get(id)?, upstreams.fleet_rate(now_ms, id)?);
-            Some(budget.next_request_in(now_ms, id, limit, optimistic_share(known, now_ms, lent)))
+            let (state, limit) = (upstreams.get(id)?, upstreams.fleet_rate(now_ms, id)?);
+            Some(budget.next_request_in(now_ms, id, limit, optimistic_share(state, now_ms, lent)))
         };
         let permits_in_ms: Option<Vec<Millis>> = usable.iter().map(permits_in_ms).collect();
         let next_permit_in_ms = permits_in_ms.and_then(|all| all.into_iter().min());
@@ -108,9 +108,9 @@
 
     /// Zero before a service time is learned, unless rate limits determine it.
     fn wait_ms(&self, ahead: usize) -> Millis {
-        if let Some(permits_in_ms) = self.next_permit_in_ms {
+        if let Some(next_permit_in_ms) = self.next_permit_in_ms {
             let queue_ms = (ahead as f64 / self.throughput_per_ms.max(1e-6)).min(1e9) as u64;
-            return permits_in_ms + Millis(queue_ms);
+            return next_permit_in_ms + Millis(queue_ms);
         }
         let ahead = ahead as f64 + 1.0;
         let wait_ms = (ahead / self.throughput_per_ms.max(1e-6)).min(1e9) as u64;
@@ -128,18 +128,18 @@
 /// there are none: nothing in a cell of one zone, as other zones have some; in a cell of the whole
 /// service all that accept requests, since the state may be outdated.
 fn usable_upstreams(now_ms: Millis, cell: &Cell, upstreams: &UpstreamSet) -> Vec<UpstreamId> {
-    let is_in_cell = |id: &&UpstreamId| {
-        let is_held = upstreams.get(id).is_some_and(|known| cell.contains(&known.entry));
-        is_held && upstreams.accepts_requests(id)
+    let accepts_in_cell = |id: &&UpstreamId| {
+        let is_in_cell = upstreams.get(id).is_some_and(|state| cell.contains(&state.entry));
+        is_in_cell && upstreams.accepts_requests(id)
     };
     let all: Vec<&UpstreamId> =
-        upstreams.of_service(&cell.service).iter().filter(is_in_cell).collect();
+        upstreams.of_service(&cell.service).iter().filter(accepts_in_cell).collect();
     let failure_rate =
-        |id: &UpstreamId| upstreams.get(id).map_or(0.0, |known| known.failure_rate(now_ms));
+        |id: &UpstreamId| upstreams.get(id).map_or(0.0, |state| state.failure_rate(now_ms));
     let mean = all.iter().map(|id| failure_rate(id)).sum::<f64>() / all.len().max(1) as f64;
     let is_usable = |id: &&UpstreamId| {
-        let is_avoided = upstreams.get(id).is_some_and(|known| known.is_excluded(now_ms));
-        !is_avoided && failure_rate(id) - mean < MAX_EXCESS_FAILURE_RATE
+        let is_excluded = upstreams.get(id).is_some_and(|state| state.is_excluded(now_ms));
+        !is_excluded && failure_rate(id) - mean < MAX_EXCESS_FAILURE_RATE
     };
     let usable: Vec<UpstreamId> = all.iter().copied().filter(is_usable).cloned().collect();
     match usable.is_empty() && cell.zone.is_none() {
--- a/crates/dispatch/src/scheduler/fresh_report.rs
+++ b/crates/dispatch/src/scheduler/fresh_report.rs
@@ -8,7 +8,7 @@
 const FRESH_MS: Millis = Millis(25);
 
 /// The upstream's last report, if it is recent enough.
-pub(super) fn fresh_report(known: &UpstreamState, now_ms: Millis) -> Option<LoadReport> {
-    let report = known.report(now_ms).filter(|(_, age_ms)| *age_ms <= FRESH_MS);
+pub(super) fn fresh_report(state: &UpstreamState, now_ms: Millis) -> Option<LoadReport> {
+    let report = state.report(now_ms).filter(|(_, age_ms)| *age_ms <= FRESH_MS);
     report.map(|(report, _)| report)
 }
--- a/crates/dispatch/src/scheduler/message.rs
+++ b/crates/dispatch/src/scheduler/message.rs
@@ -102,8 +102,8 @@
 }
 
 impl Outcome {
-    /// What the result says about the upstream for backpressure.
-    pub fn answer_kind(&self) -> ResponseKind {
+    /// Kind of the response in terms of backpressure.
+    pub fn response_kind(&self) -> ResponseKind {
         match self.failure {
             None => ResponseKind::Served,
             Some(_) => ResponseKind::Failed,
--- a/crates/dispatch/src/scheduler/placed.rs
+++ b/crates/dispatch/src/scheduler/placed.rs
@@ -24,7 +24,7 @@
     /// The upstream's run at placement.
     pub(super) run: RunStart,
     pub(super) work: f64,
-    /// Slowness at placement, if a fresh report told it.
+    /// Slowness at placement, if a fresh report stated it.
     pub(super) slowness: Option<f64>,
     pub(super) occupancy: Occupancy,
     /// Until when time is included in `occupancy`.
@@ -53,19 +53,19 @@
         now_ms: Millis,
         request: &QueuedRequest,
         candidate: &Candidate,
-        known: &UpstreamState,
+        state: &UpstreamState,
     ) {
-        let at = (&candidate.upstream, known.entry.run);
-        self.add_time(now_ms, at, known.in_flight() - 1);
+        let at = (&candidate.upstream, state.entry.run);
+        self.add_time(now_ms, at, state.in_flight() - 1);
         let placed = Placed {
             upstream: candidate.upstream.clone(),
-            run: known.entry.run,
+            run: state.entry.run,
             work: candidate.work,
             // The time on a cold upstream says nothing about the baseline.
-            slowness: fresh_report(known, now_ms)
-                .filter(|_| known.warmth(now_ms) == Warmth::Warm)
+            slowness: fresh_report(state, now_ms)
+                .filter(|_| state.warmth(now_ms) == Warmth::Warm)
                 .map(|report| report.slowness()),
-            occupancy: Occupancy::new(known.in_flight()),
+            occupancy: Occupancy::new(state.in_flight()),
             occupancy_until_ms: now_ms,
             expires_ms: request.end_ms + EXPIRE_AFTER_MS,
         };
--- a/crates/dispatch/src/scheduler/placement_rates.rs
+++ b/crates/dispatch/src/scheduler/placement_rates.rs
@@ -18,8 +18,12 @@
 
 impl PlacementRates {
     pub(super) fn new(host: HostId) -> PlacementRates {
-        let alone = FleetSize { hosts: 1, hosts_in_zone: 1 };
-        PlacementRates { budget: RateBudget::new(host), lenders: Lenders::default(), fleet: alone }
+        let single_host = FleetSize { hosts: 1, hosts_in_zone: 1 };
+        PlacementRates {
+            budget: RateBudget::new(host),
+            lenders: Lenders::default(),
+            fleet: single_host,
+        }
     }
 
     pub(super) fn set_fleet(&mut self, fleet: FleetSize) {
@@ -45,26 +49,27 @@
         lent: LentShares,
         upstreams: &UpstreamSet,
     ) {
-        if let (Some(limit), Some(known)) = (upstreams.fleet_rate(now_ms, id), upstreams.get(id)) {
-            self.budget.spend(now_ms, id, limit, confirmed_share(known, now_ms, lent));
+        if let (Some(limit), Some(state)) = (upstreams.fleet_rate(now_ms, id), upstreams.get(id)) {
+            self.budget.spend(now_ms, id, limit, confirmed_share(state, now_ms, lent));
         }
     }
 
     /// The shares lent to the scheduler of a cell.
     pub(super) fn lent_shares(&self, now_ms: Millis, cell: &Cell, is_primary: bool) -> LentShares {
         let lenders = f64::from(self.lenders.count(now_ms, cell));
-        let part = |of: u32| (lenders / f64::from(of.max(1))).min(1.0);
+        let share = |of: u32| (lenders / f64::from(of.max(1))).min(1.0);
         let hosts = if cell.zone.is_some() { self.fleet.hosts_in_zone } else { self.fleet.hosts };
-        LentShares { of_fleet: part(self.fleet.hosts), of_cell: part(hosts), is_primary }
+        LentShares { of_fleet: share(self.fleet.hosts), of_cell: share(hosts), is_primary }
     }
 }
 
-/// Share of the fleet's rate that may be spent on an upstream.
-pub(super) fn confirmed_share(known: &UpstreamState, now_ms: Millis, lent: LentShares) -> f64 {
-    lent.spendable(fresh_report(known, now_ms).is_some() && known.other_requests() < 0.5)
+/// Share of the fleet's rate that may be spent on an upstream: more of it if a fresh report shows
+/// no requests of other hosts.
+pub(super) fn confirmed_share(state: &UpstreamState, now_ms: Millis, lent: LentShares) -> f64 {
+    lent.spendable(fresh_report(state, now_ms).is_some() && state.other_requests() < 0.5)
 }
 
 /// The same, assuming no requests of other hosts if there is no fresh report.
-pub(super) fn optimistic_share(known: &UpstreamState, now_ms: Millis, lent: LentShares) -> f64 {
-    lent.spendable(fresh_report(known, now_ms).is_none() || known.other_requests() < 0.5)
+pub(super) fn optimistic_share(state: &UpstreamState, now_ms: Millis, lent: LentShares) -> f64 {
+    lent.spendable(fresh_report(state, now_ms).is_none() || state.other_requests() < 0.5)
 }
--- a/crates/dispatch/src/service_load.rs
+++ b/crates/dispatch/src/service_load.rs
@@ -7,7 +7,6 @@
 use crate::LoadReport;
 
 /// Weight of one report in the moving averages.
-/// worth of no deployment changed by more than its runs differ.
 const REPORT_WEIGHT: f64 = 0.05;
 
 /// Slowness before the first report.
--- a/crates/dispatch/src/subset.rs
+++ b/crates/dispatch/src/subset.rs
@@ -20,7 +20,8 @@
 /// Upstreams of other zones in a subset, used when the local zone is full.
 pub const OTHER_ZONE_UPSTREAMS: usize = 4;
 
-/// Upstreams outside of the subsets count as probed by this many times the number of hosts.
+/// For an upstream outside its subset a host assumes this many times as many probing hosts, and so
+/// probes it rarely.
 const OUTSIDE_SUBSET_FACTOR: f64 = 8.0;
 
 /// Number of hosts that probe upstreams.
@@ -46,12 +47,12 @@
         host: &HostId,
         zone: &ZoneName,
         upstreams: &[UpstreamId],
-        known: &FastMap<UpstreamId, UpstreamState>,
+        states: &FastMap<UpstreamId, UpstreamState>,
     ) -> Subset {
         // Evacuated upstreams would take the place of usable ones.
-        let is_usable = |known: &&UpstreamState| known.eligibility != Eligibility::ZoneEvacuated;
-        let usable = || upstreams.iter().filter_map(|id| known.get(id)).filter(is_usable);
-        let entries = || usable().map(|known| &*known.entry);
+        let is_usable = |state: &&UpstreamState| state.eligibility != Eligibility::ZoneEvacuated;
+        let usable = || upstreams.iter().filter_map(|id| states.get(id)).filter(is_usable);
+        let entries = || usable().map(|state| &*state.entry);
         let usable_upstreams = usable().count();
         let upstreams_in_zone = entries().filter(|entry| entry.availability_zone == *zone).count();
         let most = match usable_upstreams <= FULL_SUBSET_MAX {
--- a/crates/dispatch/tests/attempts.rs
+++ b/crates/dispatch/tests/attempts.rs
@@ -20,9 +20,9 @@
     AttemptResult::Answered(ResponseSummary { status, not_run: true, is_sealed: false })
 }
 
-fn state(repeat: Idempotency) -> AttemptState {
+fn state(idempotency: Idempotency) -> AttemptState {
     AttemptState {
-        repeat,
+        idempotency,
         may_have_run: 1,
         attempts_made: 1,
         max_attempts: 2,
@@ -41,12 +41,12 @@
     }
 }
 
-fn check(repeat: Idempotency, result: AttemptResult, wanted: &str) {
-    let mut state = state(repeat);
+fn check(idempotency: Idempotency, result: AttemptResult, wanted: &str) {
+    let mut state = state(idempotency);
     if is_not_run(result) {
         state.may_have_run = 0;
     }
-    assert_eq!(name(next_step(state, result)), wanted, "{repeat:?} {result:?}");
+    assert_eq!(name(next_step(state, result)), wanted, "{idempotency:?} {result:?}");
 }
 
 #[rstest]
@@ -87,8 +87,8 @@
 
 #[test]
 fn a_request_shed_by_all_upstreams_is_refused_as_not_run_with_retry_after() {
-    for repeat in [Idempotency::Idempotent, Idempotency::AtMostOnce] {
-        let state = AttemptState { may_have_run: 0, attempts_made: 4, ..state(repeat) };
+    for idempotency in [Idempotency::Idempotent, Idempotency::AtMostOnce] {
+        let state = AttemptState { may_have_run: 0, attempts_made: 4, ..state(idempotency) };
         let NextStep::Refuse(refusal) = next_step(state, shed(503)) else { panic!("not refused") };
         assert_eq!(refusal.cause, Cause::UpstreamsRefused);
         assert!(refusal.is_not_run);
--- a/crates/dispatch/tests/choice.rs
+++ b/crates/dispatch/tests/choice.rs
@@ -17,28 +17,28 @@
 const NOW: Millis = Millis(10_000);
 
 fn reported(running: u32, waiting: u32, slowness_percent: u32, age_ms: u64) -> UpstreamState {
-    let mut known = known("i-1");
-    known.record_report(NOW - Millis(age_ms), report(running, waiting, slowness_percent));
-    known
+    let mut state = known("i-1");
+    state.record_report(NOW - Millis(age_ms), report(running, waiting, slowness_percent));
+    state
 }
 
 fn failing(failures: u32) -> UpstreamState {
-    let mut known = reported(0, 0, 100, 0);
+    let mut state = reported(0, 0, 100, 0);
     for _ in 0..failures {
-        known.record_sent(NOW);
-        known.record_ended(NOW, Some(AttemptFailure::Disconnected));
+        state.record_sent(NOW);
+        state.record_ended(NOW, Some(AttemptFailure::Disconnected));
     }
-    known.record_report(NOW, report(0, 0, 100));
-    known
+    state.record_report(NOW, report(0, 0, 100));
+    state
 }
 
-fn cost(known: &UpstreamState) -> f64 {
-    estimate_cost(known, ServiceLoad::default(), false).cost
+fn cost(state: &UpstreamState) -> f64 {
+    estimate_cost(state, ServiceLoad::default(), false).cost
 }
 
-fn estimate_cost(known: &UpstreamState, load: ServiceLoad, is_other_zone: bool) -> Candidate {
+fn estimate_cost(state: &UpstreamState, load: ServiceLoad, is_other_zone: bool) -> Candidate {
     let curve = SpeedCurve::new(Slots(support::SLOTS));
-    dispatch::estimate_cost(known, CostInputs { load, curve: &curve, now_ms: NOW, is_other_zone })
+    dispatch::estimate_cost(state, CostInputs { load, curve: &curve, now_ms: NOW, is_other_zone })
 }
 
 #[rstest]
@@ -81,43 +81,43 @@
     #[case] better: UpstreamState,
     #[case] worse: UpstreamState,
 ) {
-    let cost = |known| estimate_cost(known, load, false).cost;
+    let cost = |state| estimate_cost(state, load, false).cost;
     assert!(cost(&better) < cost(&worse), "{} {}", cost(&better), cost(&worse));
 }
 
 #[test]
 fn failures_raise_the_cost_but_not_the_expected_work() {
     let (healthy, failing) = (reported(0, 0, 100, 0), failing(5));
-    let work = |known| estimate_cost(known, ServiceLoad::default(), false).work;
+    let work = |state| estimate_cost(state, ServiceLoad::default(), false).work;
     assert!((work(&healthy) - work(&failing)).abs() < 1e-9);
 }
 
 #[test]
 fn failures_fade() {
-    let known = failing(5);
-    assert!(known.failure_rate(NOW) > 0.5);
-    assert!(known.failure_rate(NOW + Millis(20_000)) < 0.1);
+    let state = failing(5);
+    assert!(state.failure_rate(NOW) > 0.5);
+    assert!(state.failure_rate(NOW + Millis(20_000)) < 0.1);
 }
 
 #[test]
 fn requests_sent_since_a_report_count() {
-    let mut known = reported(0, 0, 100, 0);
-    let idle = cost(&known);
+    let mut state = reported(0, 0, 100, 0);
+    let idle = cost(&state);
     for _ in 0..6 {
-        known.record_sent(NOW);
+        state.record_sent(NOW);
     }
-    assert!(cost(&known) > idle + 0.5);
-    known.record_withdrawn();
-    assert_eq!(known.in_flight(), 5);
+    assert!(cost(&state) > idle + 0.5);
+    state.record_withdrawn();
+    assert_eq!(state.in_flight(), 5);
 }
 
 #[test]
 fn another_zone_costs_more() {
-    let known = reported(0, 0, 100, 0);
-    let near = estimate_cost(&known, ServiceLoad::default(), false);
-    let far = estimate_cost(&known, ServiceLoad::default(), true);
-    assert!(far.cost > near.cost);
-    assert!((far.work - near.work).abs() < 1e-9);
+    let state = reported(0, 0, 100, 0);
+    let local = estimate_cost(&state, ServiceLoad::default(), false);
+    let other = estimate_cost(&state, ServiceLoad::default(), true);
+    assert!(other.cost > local.cost);
+    assert!((other.work - local.work).abs() < 1e-9);
 }
 
 fn probed_in_zone(set: &dispatch::UpstreamSet, excluded: &[&str], most: usize) -> Vec<String> {
@@ -128,7 +128,7 @@
     set: &dispatch::UpstreamSet,
     excluded: &[&str],
     most: usize,
-    reach: ZoneScope,
+    scope: ZoneScope,
 ) -> Vec<String> {
     let mut rng = Pcg64Mcg::seed_from_u64(7);
     let excluded: Vec<_> = excluded.iter().map(|name| id(name)).collect();
@@ -136,7 +136,7 @@
         NOW,
         &"parts".parse().unwrap(),
         &excluded,
-        (most, reach),
+        (most, scope),
         |_| false,
         &mut rng,
     );
@@ -175,11 +175,11 @@
 
 #[test]
 fn the_exclusion_grows_up_to_a_limit() {
-    let mut known = known("i-1");
+    let mut state = known("i-1");
     let mut exclusions_ms = Vec::new();
     for _ in 0..6 {
-        known.record_probe_failure(NOW, ProbeFailure::TimedOut);
-        let excluded_ms = (0..10_000).find(|&ms| !known.is_excluded(NOW + Millis(ms))).unwrap();
+        state.record_probe_failure(NOW, ProbeFailure::TimedOut);
+        let excluded_ms = (0..10_000).find(|&ms| !state.is_excluded(NOW + Millis(ms))).unwrap();
         exclusions_ms.push(excluded_ms);
     }
     assert_eq!(exclusions_ms, [250, 500, 1_000, 2_000, 2_000, 2_000]);
--- a/crates/dispatch/tests/support/rate_site/saying.rs
+++ b/crates/dispatch/tests/support/rate_site/saying.rs
@@ -48,7 +48,7 @@
             reached.told.entry(host).or_insert(self.now_ms);
         }
         let upstreams = &mut self.hosts[host].upstreams;
-        upstreams.record_backpressure(now_ms, at, outcome.answer_kind(), outcome.backpressure);
+        upstreams.record_backpressure(now_ms, at, outcome.response_kind(), outcome.backpressure);
         let told = upstreams.backpressure_mut().take_pending(now_ms);
         if !told.is_empty() {
             self.tell_all(host, &told);
--- a/crates/gateway/src/serve/attempt_end.rs
+++ b/crates/gateway/src/serve/attempt_end.rs
@@ -46,7 +46,7 @@
         self.log_failure(&ended, now_ms);
         let uses_retry_budget = counts.arrived > 0;
         let state = AttemptState {
-            repeat: self.route().idempotency,
+            idempotency: self.route().idempotency,
             may_have_run: counts.may_have_run(),
             attempts_made: counts.sent,
             max_attempts: self.route().attempts,
--- a/crates/gateway/src/serve/attempt_guard.rs
+++ b/crates/gateway/src/serve/attempt_guard.rs
@@ -77,7 +77,7 @@
     pub(super) fn end(mut self, service: &ServiceName, work: f64, outcome: Outcome) {
         self.is_ended = true;
         // Before the outcome goes to a scheduler on this host, which reads what is recorded here.
-        let (at, kind) = ((&self.upstream, self.run), outcome.answer_kind());
+        let (at, kind) = ((&self.upstream, self.run), outcome.response_kind());
         backpressure::note(&self.host, at, kind, outcome.backpressure);
         if self.updates_own_state() {
             self.record_end(outcome);
