--- a/crates/dispatch/src/scheduler.rs
+++ b/crates/dispatch/src/scheduler.rs
@@ -169,7 +169,7 @@
         upstreams.record_overrun(&self.cell.service, outcome.took_ms, placed.work);
         let after = outcome.report.map(|report| report.slowness());
         let slowness = match (placed.slowness, after) {
-            // A change of slowness while it ran would be attributed to the upstream.
+            // If other load on its machine changed meanwhile, it would distort the speed curve.
             (Some(before), Some(after)) if (before - after).abs() < SLOWNESS_TOLERANCE * before => {
                 after
             }
--- a/crates/dispatch/tests/restart.rs
+++ b/crates/dispatch/tests/restart.rs
@@ -22,11 +22,11 @@
 fn restarted() -> UpstreamSet {
     let mut set = set(&[of_run("i-1", 100)]);
     set.record_report(NOW, (&id("i-1"), FORMER), report(5, 2, 400));
-    let known = set.get_mut(&id("i-1")).unwrap();
-    known.record_sent(NOW);
-    known.record_sent(NOW);
-    known.record_ended(NOW, Some(AttemptFailure::Disconnected));
-    known.record_probe_failure(NOW, ProbeFailure::Unreachable);
+    let state = set.get_mut(&id("i-1")).unwrap();
+    state.record_sent(NOW);
+    state.record_sent(NOW);
+    state.record_ended(NOW, Some(AttemptFailure::Disconnected));
+    state.record_probe_failure(NOW, ProbeFailure::Unreachable);
     set.sync(NOW, [of_run("i-1", 200)].iter(), &Evacuations::default());
     set
 }
@@ -34,11 +34,11 @@
 #[test]
 fn state_of_the_former_run_is_dropped() {
     let set = restarted();
-    let known = set.get(&id("i-1")).unwrap();
-    assert_eq!(known.in_flight(), 0);
-    assert!(known.report(NOW).is_none());
-    assert!(!known.is_excluded(NOW));
-    assert_eq!(known.failure_rate(NOW), 0.0);
+    let state = set.get(&id("i-1")).unwrap();
+    assert_eq!(state.in_flight(), 0);
+    assert!(state.report(NOW).is_none());
+    assert!(!state.is_excluded(NOW));
+    assert_eq!(state.failure_rate(NOW), 0.0);
     assert!(set.has_restarted(&id("i-1"), FORMER));
     assert!(!set.has_restarted(&id("i-1"), LATER));
     assert!(!set.has_restarted(&id("i-1"), RunStart::default()));
@@ -86,9 +86,9 @@
     };
     let effects = handle(&mut upstreams, PlacementMessage::Ended { ticket: Ticket(1), outcome });
     assert!(effects.iter().all(|effect| !matches!(effect, Effect::Probe(_))), "{effects:?}");
-    let known = upstreams.get(&id("i-1")).unwrap();
-    assert_eq!((known.in_flight(), known.failure_rate(NOW)), (1, 0.0));
-    assert_eq!(known.report(NOW).unwrap().0.running, 0);
+    let state = upstreams.get(&id("i-1")).unwrap();
+    assert_eq!((state.in_flight(), state.failure_rate(NOW)), (1, 0.0));
+    assert_eq!(state.report(NOW).unwrap().0.running, 0);
     handle(
         &mut upstreams,
         PlacementMessage::Withdrawn { ticket: Ticket(2), withdrawal: Withdrawal::Sent },
