--- a/crates/dispatch/src/upstream.rs
+++ b/crates/dispatch/src/upstream.rs
@@ -1,9 +1,8 @@
-//! What is known of one upstream.
+//! State that this host keeps of one upstream.
 //!
-//! Knowledge comes from answers and from asking, and ages: neighbours on an upstream's
-//! machine come and go within half a second, so a report is worth little after
-//! [`REPORT_FADE_MS`]. Failures count as load, since an upstream that fails fast looks
-//! idle.
+//! It is learned from responses and probes, and ages quickly: the load of the machine that an
+//! upstream runs on shifts within half a second. Failures raise an upstream's cost, because one
+//! that fails fast looks idle.
 
 use crate::LoadReport;
 use crate::cold::{Warmth, WarmupState};
@@ -13,127 +12,128 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A report's weight falls to 1/e in this time; the load of upstreams shifts within 500 ms. With
-/// 300 ms a fleet of 103 hosts earned 0.008 less; 80 ms gained nothing anywhere else.
-const REPORT_FADE_MS: f64 = 150.0;
+/// Time in which a report's weight decays to 1/e; the load of upstreams shifts within 500 ms.
+const REPORT_DECAY_MS: f64 = 150.0;
 
-/// What was sent is forgotten to 1/e in this time, so that as much is remembered as left in it.
-const SENT_FADE_MS: f64 = 1_000.0;
+/// Time in which the count of sent requests decays to 1/e; with it, the count is about that of the
+/// last second.
+const SENT_DECAY_MS: f64 = 1_000.0;
 
-/// Failures and answers are forgotten to 1/e in this time: long enough to see a part of
-/// failing requests, short enough to take a mended upstream back.
-const FAILURE_FADE_MS: f64 = 3_000.0;
+/// Time in which failures and responses decay to 1/e: long enough to notice that a part of the
+/// requests fails, short enough to use a repaired upstream again.
+const FAILURE_DECAY_MS: f64 = 3_000.0;
 
-/// First time that an upstream that can't be reached is left alone; doubled up to [`MAX_AVOID_MS`].
-const FIRST_AVOID_MS: u64 = 250;
+/// How long an upstream is excluded after its first failed probe; doubles with each further one up
+/// to [`MAX_EXCLUSION_MS`].
+const FIRST_EXCLUSION_MS: u64 = 250;
 
-/// Longest time that an upstream is left alone before it is asked again.
-const MAX_AVOID_MS: u64 = 2_000;
+/// Longest exclusion after a failed probe.
+const MAX_EXCLUSION_MS: u64 = 2_000;
 
-/// How asking an upstream failed.
+/// Why a probe of an upstream failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ProbeFailure {
-    /// No connection, or it broke.
+    /// No connection could be opened, or it broke.
     Unreachable,
-    /// It said that it is unwell, or is leaving.
+    /// The upstream reported itself unhealthy or leaving.
     Unwell,
-    /// Another upstream has the address.
+    /// Another upstream answered at its address.
     OtherUpstream,
-    /// It did not answer in time.
+    /// No response arrived in time.
     #[serde(rename = "silent")]
     TimedOut,
 }
 
-/// How sending a request failed.
+/// Why an attempt failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AttemptFailure {
-    /// It answered with an error of its own.
+    /// The upstream itself responded with an error.
     #[serde(rename = "error-answer")]
     ErrorResponse,
-    /// It declared that it did not run the request.
+    /// The upstream declared that it did not run the request.
     Shed,
-    /// The connection broke, or the answer was spoilt.
+    /// The connection broke, or the response was malformed.
     #[serde(rename = "broken")]
     Disconnected,
-    /// No answer came for far longer than usual.
+    /// No response arrived for far longer than such requests usually take.
     #[serde(rename = "silent")]
     TimedOut,
 }
 
-/// What is known of an upstream.
+/// What this host knows of an upstream.
 #[derive(Debug)]
 pub struct UpstreamState {
-    /// Its entry.
+    /// The published entry.
     pub entry: Arc<Upstream>,
-    /// Whether it may get new requests.
+    /// Whether it may receive new requests.
     pub eligibility: Eligibility,
     revision: Revision,
     /// When it was first published, as far as this host knows.
     first_seen_ms: Millis,
-    cold: WarmupState,
+    warmup: WarmupState,
     report: Option<(LoadReport, Millis)>,
-    /// Requests that the report told beyond those that were known.
+    /// Requests in the last report that this host doesn't count itself.
     other_requests: f64,
     in_flight: u32,
-    sent: Fading,
-    failed: Fading,
-    ended: Fading,
-    unreached: u32,
+    sent: DecayingSum,
+    failed: DecayingSum,
+    ended: DecayingSum,
+    failed_probes: u32,
     excluded_until_ms: Millis,
 }
 
 impl UpstreamState {
-    /// An upstream that has just been published.
+    /// Initial state of an upstream that has just been published.
     pub fn new(entry: &Entry<Arc<Upstream>>, now_ms: Millis) -> UpstreamState {
-        let mut cold = WarmupState::default();
-        cold.apply_entry(now_ms, entry.value.warmup_left_ms);
+        let mut warmup = WarmupState::default();
+        warmup.apply_entry(now_ms, entry.value.warmup_left_ms);
         UpstreamState {
             entry: Arc::clone(&entry.value),
             eligibility: Eligibility::Eligible,
             revision: entry.revision,
             first_seen_ms: now_ms,
-            cold,
+            warmup,
             report: None,
             other_requests: 0.0,
             in_flight: 0,
-            sent: Fading::new(SENT_FADE_MS),
-            failed: Fading::new(FAILURE_FADE_MS),
-            ended: Fading::new(FAILURE_FADE_MS),
-            unreached: 0,
+            sent: DecayingSum::new(SENT_DECAY_MS),
+            failed: DecayingSum::new(FAILURE_DECAY_MS),
+            ended: DecayingSum::new(FAILURE_DECAY_MS),
+            failed_probes: 0,
             excluded_until_ms: Millis::ZERO,
         }
     }
 
-    /// Whether what was begun with a run of the upstream still tells of this one.
+    /// Whether a result obtained from process run `run` still applies to the current one.
     pub fn is_of_run(&self, run: RunStart) -> bool {
         self.entry.run.is_same(run)
     }
 
-    /// Last report and its age.
+    /// The last report and its age.
     pub fn report(&self, now_ms: Millis) -> Option<(LoadReport, Millis)> {
         self.report.map(|(report, at_ms)| (report, now_ms.since(at_ms)))
     }
 
-    /// Requests that it has in progress, of this host or placed by it.
+    /// Requests of this host, or placed by its schedulers, that the upstream works on.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Requests of others there, as it last told.
+    /// Requests of other hosts that the upstream works on, by its last report.
     pub(crate) fn other_requests(&self) -> f64 {
         self.other_requests
     }
 
-    /// Whether it is left alone for now.
+    /// Whether it is temporarily excluded after failed probes.
     pub fn is_excluded(&self, now_ms: Millis) -> bool {
         now_ms < self.excluded_until_ms
     }
 
-    /// Part of its requests that failed of late, 0 to 1.
+    /// Part of the recent requests that failed, 0 to 1.
     ///
-    /// One answer's worth of good faith keeps a single failure from counting as all.
+    /// The denominator counts one more success, so that a single failure doesn't give a rate of 1.
     pub fn failure_rate(&self, now_ms: Millis) -> f64 {
         self.failed.at(now_ms) / (self.ended.at(now_ms) + 1.0)
     }
@@ -143,17 +143,17 @@
         self.first_seen_ms
     }
 
-    /// Whether it is cold, as far as that is known.
+    /// Whether it is cold.
     pub fn warmth(&self, now_ms: Millis) -> Warmth {
-        self.cold.at(now_ms)
+        self.warmup.at(now_ms)
     }
 
-    /// When it became cold, or may have.
+    /// When it became cold, or may have become cold.
     pub(crate) fn cold_since_ms(&self) -> Millis {
-        self.cold.since_ms()
+        self.warmup.since_ms()
     }
 
-    /// Takes its entry as it is published now.
+    /// Applies the entry that is published now.
     pub(crate) fn apply_entry(
         &mut self,
         now_ms: Millis,
@@ -161,80 +161,84 @@
         eligibility: Eligibility,
     ) {
         if entry.revision != self.revision {
-            self.cold.apply_entry(now_ms, entry.value.warmup_left_ms);
-            // It has just written its entry anew, so it is there.
-            self.unreached = 0;
+            self.warmup.apply_entry(now_ms, entry.value.warmup_left_ms);
+            // The upstream has just written its entry, so it is reachable.
+            self.failed_probes = 0;
             self.excluded_until_ms = Millis::ZERO;
         }
         if self.eligibility == Eligibility::ZoneEvacuated && eligibility != self.eligibility {
-            self.cold.mark_unknown(now_ms);
+            self.warmup.mark_unknown(now_ms);
         }
         self.revision = entry.revision;
         self.entry = Arc::clone(&entry.value);
         self.eligibility = eligibility;
     }
 
-    /// It answered a health check, and told how much longer it stays cold if it is of those that
-    /// tell.
+    /// Records a health check's response: how much longer the upstream stays cold, if it reports
+    /// that.
     pub(crate) fn record_warmup_left(&mut self, now_ms: Millis, left_ms: Option<Millis>) {
-        self.cold.record_warmup_left(now_ms, left_ms);
+        self.warmup.record_warmup_left(now_ms, left_ms);
     }
 
-    /// Slowness as far as it is still known, in times of the usual; what is not known is
-    /// taken from the load of the service.
+    /// Estimated slowdown, relative to the normal speed: as its report ages, the mean of the
+    /// service replaces it.
     pub fn slowness(&self, now_ms: Millis, service: ServiceLoad) -> f64 {
         let Some((report, age_ms)) = self.report(now_ms) else { return service.slowness };
-        service.slowness + (report.slowness() - service.slowness) * known_part(age_ms)
+        service.slowness + (report.slowness() - service.slowness) * report_weight(age_ms)
     }
 
-    /// Requests running and waiting there: those that are known, and others as far as it told.
+    /// Estimated number of requests that run or wait there: those that this host counts, and those
+    /// of other hosts by its report, which the mean of the service replaces as it ages.
     pub fn estimated_requests(&self, now_ms: Millis, service: ServiceLoad) -> f64 {
         let in_flight = f64::from(self.in_flight);
-        let usual = service.others * f64::from(self.entry.slots.0);
-        let Some((_, age_ms)) = self.report(now_ms) else { return usual + in_flight };
-        usual + (self.other_requests - usual) * known_part(age_ms) + in_flight
+        let mean = service.others * f64::from(self.entry.slots.0);
+        let Some((_, age_ms)) = self.report(now_ms) else { return mean + in_flight };
+        mean + (self.other_requests - mean) * report_weight(age_ms) + in_flight
     }
 
-    /// It told its load.
+    /// Records a load report.
     pub fn record_report(&mut self, now_ms: Millis, report: LoadReport) {
         self.report = Some((report, now_ms));
         self.other_requests = told_others(&report, self.in_flight);
     }
 
-    /// It answered when asked.
+    /// Records a successful probe.
     pub fn record_probe_success(&mut self) {
-        self.unreached = 0;
+        self.failed_probes = 0;
         self.excluded_until_ms = Millis::ZERO;
     }
 
-    /// Asking it failed.
+    /// Records a failed probe.
     pub fn record_probe_failure(&mut self, now_ms: Millis, failure: ProbeFailure) {
         match failure {
-            ProbeFailure::OtherUpstream => self.excluded_until_ms = now_ms + Millis(MAX_AVOID_MS),
+            ProbeFailure::OtherUpstream => {
+                self.excluded_until_ms = now_ms + Millis(MAX_EXCLUSION_MS)
+            }
             ProbeFailure::Unreachable | ProbeFailure::Unwell | ProbeFailure::TimedOut => {
-                // It may have been down, and is cold when it is back.
+                // It may have restarted meanwhile, and a restarted upstream is cold.
                 if failure != ProbeFailure::Unwell {
-                    self.cold.mark_unknown(now_ms);
+                    self.warmup.mark_unknown(now_ms);
                 }
-                self.unreached = self.unreached.saturating_add(1);
-                let doubled = FIRST_AVOID_MS << (self.unreached - 1).min(8);
-                self.excluded_until_ms = now_ms + Millis(doubled.min(MAX_AVOID_MS));
+                self.failed_probes = self.failed_probes.saturating_add(1);
+                let exclusion_ms = FIRST_EXCLUSION_MS << (self.failed_probes - 1).min(8);
+                self.excluded_until_ms = now_ms + Millis(exclusion_ms.min(MAX_EXCLUSION_MS));
             }
         }
     }
 
-    /// A request leaves for it.
+    /// Records that a request is sent to it.
     pub fn record_sent(&mut self, now_ms: Millis) {
         self.in_flight += 1;
         self.sent.add(now_ms, 1.0);
     }
 
-    /// Requests that left for it within about a second, of this host or placed by it.
+    /// About the number of requests of this host, or placed by its schedulers, that were sent to
+    /// it in the last second.
     pub(crate) fn recently_sent(&self, now_ms: Millis) -> f64 {
         self.sent.at(now_ms)
     }
 
-    /// A request sent to it came to its end.
+    /// Records the end of a request that was sent to it.
     pub fn record_ended(&mut self, now_ms: Millis, failure: Option<AttemptFailure>) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.ended.add(now_ms, 1.0);
@@ -251,33 +255,33 @@
         }
     }
 
-    /// A request sent to it was withdrawn: nothing is learned.
+    /// Records that a request was withdrawn, which says nothing about the upstream.
     pub fn record_withdrawn(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 }
 
-/// Part of a report that still holds.
-fn known_part(age_ms: Millis) -> f64 {
-    (-age_ms.as_f64() / REPORT_FADE_MS).exp()
+/// Weight of a report of this age, 0 to 1.
+fn report_weight(age_ms: Millis) -> f64 {
+    (-age_ms.as_f64() / REPORT_DECAY_MS).exp()
 }
 
-/// A sum that fades.
+/// A sum that decays exponentially.
 #[derive(Debug)]
-struct Fading {
-    /// Time in which it falls to 1/e.
-    fade_ms: f64,
+struct DecayingSum {
+    /// Time in which it decays to 1/e.
+    decay_ms: f64,
     value: f64,
     at_ms: Millis,
 }
 
-impl Fading {
-    fn new(fade_ms: f64) -> Fading {
-        Fading { fade_ms, value: 0.0, at_ms: Millis::ZERO }
+impl DecayingSum {
+    fn new(decay_ms: f64) -> DecayingSum {
+        DecayingSum { decay_ms, value: 0.0, at_ms: Millis::ZERO }
     }
 
     fn at(&self, now_ms: Millis) -> f64 {
-        self.value * (-now_ms.since(self.at_ms).as_f64() / self.fade_ms).exp()
+        self.value * (-now_ms.since(self.at_ms).as_f64() / self.decay_ms).exp()
     }
 
     fn add(&mut self, now_ms: Millis, amount: f64) {
