--- a/crates/dispatch/src/upstream_set.rs
+++ b/crates/dispatch/src/upstream_set.rs
@@ -1,6 +1,7 @@
-//! All upstreams, by service.
+//! All upstreams that a host knows, by service.
 //!
-//! What they take is [`limits`]'s matter, whom a host asks [`probe_targets`]'s.
+//! [`limits`] decides what each of them may be sent, [`probe_targets`] which of them the host
+//! probes.
 
 mod limits;
 mod probe_targets;
@@ -23,7 +24,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::sync::Arc;
 
-/// What is known of all upstreams.
+/// State of all upstreams, seen from one host.
 #[derive(Debug)]
 pub struct UpstreamSet {
     host: HostId,
@@ -31,21 +32,23 @@
     known: FastMap<UpstreamId, UpstreamState>,
     services: FastMap<ServiceName, Service>,
     backpressure: BackpressureSet,
-    /// When it was first told of any.
-    filled_ms: Option<Millis>,
+    /// When the first upstream became known.
+    first_known_ms: Option<Millis>,
 }
 
 impl UpstreamSet {
-    /// None yet, seen from a host in an availability zone.
+    /// An empty set, seen from a host in an availability zone.
     pub fn new(host: HostId, zone: ZoneName) -> UpstreamSet {
         let (known, services) = (FastMap::default(), FastMap::default());
         let backpressure = BackpressureSet::default();
-        UpstreamSet { host, zone, known, services, backpressure, filled_ms: None }
+        UpstreamSet { host, zone, known, services, backpressure, first_known_ms: None }
     }
 
-    /// Takes the published entries: new ones join, missing ones go, the rest keeps what is known.
+    /// Applies the published entries: adds new upstreams, removes missing ones, keeps the state of
+    /// the others.
     ///
-    /// Nothing is kept of an upstream that started again: it is cold, and holds no requests.
+    /// The state of an upstream that restarted is dropped: it is cold, and has no requests in
+    /// flight.
     pub fn sync<'e>(
         &mut self,
         now_ms: Millis,
@@ -68,7 +71,7 @@
             self.known.insert(id, known);
         }
         if !self.known.is_empty() {
-            self.filled_ms.get_or_insert(now_ms);
+            self.first_known_ms.get_or_insert(now_ms);
         }
         for service in self.services.values_mut() {
             service.subset =
@@ -90,44 +93,45 @@
         service.map_or(near, |service| service.subset.sharing_neighbours(fleet))
     }
 
-    /// One upstream.
+    /// The state of an upstream.
     pub fn get(&self, id: &UpstreamId) -> Option<&UpstreamState> {
         self.known.get(id)
     }
 
-    /// One upstream, to note what it did.
+    /// Mutable state of an upstream.
     pub fn get_mut(&mut self, id: &UpstreamId) -> Option<&mut UpstreamState> {
         self.known.get_mut(id)
     }
 
-    /// Which run of it goes on now, as far as it is told.
+    /// The current process run of an upstream, by its entry.
     pub fn current_run(&self, id: &UpstreamId) -> RunStart {
         self.known.get(id).map(|known| known.entry.run).unwrap_or_default()
     }
 
-    /// Whether an upstream started again since its run `run` was dealt with.
+    /// Whether an upstream restarted since process run `run`.
     pub fn has_restarted(&self, id: &UpstreamId, run: RunStart) -> bool {
         self.current_run(id).is_after(run)
     }
 
-    /// One upstream, to note what came of something that was begun with its run `run`; none if
-    /// that run is over.
+    /// Mutable state of an upstream, to record the result of something started during its process
+    /// run `run`; none if that run has ended.
     pub fn get_run_mut(&mut self, id: &UpstreamId, run: RunStart) -> Option<&mut UpstreamState> {
         self.known.get_mut(id).filter(|known| known.is_of_run(run))
     }
 
-    /// Whether new requests may be sent to it; none if it is not known.
+    /// Whether new requests may be sent to an upstream; none if it is unknown.
     pub fn eligibility(&self, id: &UpstreamId) -> Option<Eligibility> {
         self.known.get(id).map(|known| known.eligibility)
     }
 
-    /// Whether new requests may be sent to it.
+    /// Whether new requests may be sent to an upstream.
     pub fn accepts_requests(&self, id: &UpstreamId) -> bool {
         self.eligibility(id) == Some(Eligibility::Eligible)
     }
 
-    /// A run of an upstream answered a health check, with how much longer it stays cold. Where its
-    /// service states a rate for cold ones, one that tells nothing is warm.
+    /// Records how much longer process run `run` of an upstream stays cold, by a health check's
+    /// response. Where the service has a rate limit for cold upstreams, a response that doesn't
+    /// say means warm.
     pub fn record_warmup_left(
         &mut self,
         now_ms: Millis,
@@ -142,12 +146,12 @@
         known.record_warmup_left(now_ms, left_ms.or(tells.then_some(Millis::ZERO)));
     }
 
-    /// How many upstreams are cold, or may be.
+    /// Number of upstreams that are cold, or may be.
     pub fn count_cold(&self, now_ms: Millis) -> usize {
         self.known.values().filter(|known| known.warmth(now_ms) != Warmth::Warm).count()
     }
 
-    /// Takes what the routing states of cold upstreams.
+    /// Applies the rate limits for cold upstreams from the routing.
     pub fn set_cold_rates<'s>(&mut self, services: impl Iterator<Item = &'s ServiceSettings>) {
         for service in self.services.values_mut() {
             service.cold_rate = None;
@@ -158,35 +162,35 @@
         }
     }
 
-    /// Whether a service has no upstream that takes work, but has one in an evacuated zone.
+    /// Whether a service has no eligible upstream, but has one in an evacuated availability zone.
     pub fn is_evacuated(&self, service: &ServiceName) -> bool {
         let is = |id: &UpstreamId| self.eligibility(id) == Some(Eligibility::ZoneEvacuated);
         self.count_eligible(service) == 0 && self.of_service(service).iter().any(is)
     }
 
-    /// Whether it stands in another availability zone than this host.
+    /// Whether an upstream is in another availability zone than this host.
     pub fn is_in_other_zone(&self, id: &UpstreamId) -> bool {
         self.known.get(id).is_some_and(|known| known.entry.availability_zone != self.zone)
     }
 
-    /// The upstreams of a service, those that leave among them.
+    /// The upstreams of a service, leaving ones included.
     pub fn of_service(&self, service: &ServiceName) -> &[UpstreamId] {
         self.services.get(service).map_or(&[][..], |service| &service.upstreams)
     }
 
-    /// Whether a service has an upstream that takes work in an availability zone.
+    /// Whether a service has an eligible upstream in an availability zone.
     pub fn accepts_requests_in(&self, service: &ServiceName, zone: &ZoneName) -> bool {
-        self.open_zones(service).any(|open| open == zone)
+        self.eligible_zones(service).any(|eligible| eligible == zone)
     }
 
-    /// The availability zone of each upstream of a service that takes work.
-    fn open_zones(&self, service: &ServiceName) -> impl Iterator<Item = &ZoneName> {
-        let open = self.of_service(service).iter().filter(|id| self.accepts_requests(id));
-        open.filter_map(|id| self.known.get(id)).map(|known| &known.entry.availability_zone)
+    /// The availability zone of each eligible upstream of a service.
+    fn eligible_zones(&self, service: &ServiceName) -> impl Iterator<Item = &ZoneName> {
+        let eligible = self.of_service(service).iter().filter(|id| self.accepts_requests(id));
+        eligible.filter_map(|id| self.known.get(id)).map(|known| &known.entry.availability_zone)
     }
 
-    /// Another availability zone in which a service has upstreams that take work, drawn by how
-    /// many there are; none if there is no such zone.
+    /// Draws another availability zone with eligible upstreams of a service, weighted by their
+    /// number; none if there is none.
     pub fn draw_other_zone(
         &self,
         service: &ServiceName,
@@ -194,11 +198,11 @@
         rng: &mut Pcg64Mcg,
     ) -> Option<ZoneName> {
         let others: Vec<&ZoneName> =
-            self.open_zones(service).filter(|other| *other != zone).collect();
+            self.eligible_zones(service).filter(|other| *other != zone).collect();
         others.choose(rng).map(|&other| other.clone())
     }
 
-    /// How many upstreams of a service take work.
+    /// Number of eligible upstreams of a service.
     pub fn count_eligible(&self, service: &ServiceName) -> usize {
         self.of_service(service).iter().filter(|id| self.accepts_requests(id)).count()
     }
@@ -228,7 +232,7 @@
         self.services.get(&known.entry.service)?.curve(known.entry.slots)
     }
 
-    /// A run of an upstream told its load.
+    /// Records the load that process run `run` of an upstream reported.
     pub fn record_report(
         &mut self,
         now_ms: Millis,
