--- a/crates/dispatch/src/cold.rs
+++ b/crates/dispatch/src/cold.rs
@@ -1,27 +1,27 @@
-//! Whether an upstream is cold ([`Warmth`]).
+//! Tracks whether an upstream is cold ([`Warmth`]).
 //!
-//! One that has just started, or was away, works slowly, and ends under more requests a second than
-//! its service states ([`crate::fleet_rate`]).
+//! One that has just started or was unreachable works slowly, and crashes under more requests a
+//! second than its service's limit for cold upstreams ([`crate::fleet_rate`]).
 
 use domain::Millis;
 use serde::Serialize;
 
-/// How much slower a cold upstream works, as long as nothing else is known.
+/// Slowdown that is assumed of a cold upstream as long as it has not reported its own.
 pub(crate) const COLD_SLOWNESS: f64 = 2.0;
 
 /// Whether an upstream is cold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Warmth {
-    /// It works at its usual speed.
+    /// It works at its normal speed.
     Warm,
-    /// It said that it is cold.
+    /// It reported that it is cold.
     Cold,
-    /// It was away, or its availability zone was evacuated: it may have become cold since.
+    /// It was unreachable, or its availability zone was evacuated: it may have become cold since.
     Unknown,
 }
 
-/// What an upstream and its entry told of its being cold.
+/// What an upstream's health checks and its entry said about being cold.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct WarmupState {
     since_ms: Millis,
@@ -38,12 +38,13 @@
         }
     }
 
-    /// When it was last known to become cold, or to be possibly so.
+    /// When it last became cold or unknown.
     pub(crate) fn since_ms(&self) -> Millis {
         self.since_ms
     }
 
-    /// Its entry was written anew. That was a while ago, so it never shortens what is known.
+    /// Applies a newly written entry. It is older than the last health check, so it never shortens
+    /// a known time.
     pub(crate) fn apply_entry(&mut self, now_ms: Millis, left_ms: Millis) {
         if left_ms > Millis::ZERO {
             self.begin(now_ms);
@@ -51,7 +52,7 @@
         }
     }
 
-    /// It answered a health check; none if it is not of those that tell.
+    /// Records a health check's response; none if the upstream doesn't report being cold.
     pub(crate) fn record_warmup_left(&mut self, now_ms: Millis, left_ms: Option<Millis>) {
         if left_ms.is_some_and(|left_ms| left_ms > Millis::ZERO) {
             self.begin(now_ms);
@@ -60,7 +61,8 @@
         self.is_outdated = false;
     }
 
-    /// It was away: what was told no longer holds.
+    /// Records that the upstream was unreachable or evacuated: what it said before no longer
+    /// holds.
     pub(crate) fn mark_unknown(&mut self, now_ms: Millis) {
         self.begin(now_ms);
         self.is_outdated = true;
