--- a/crates/dispatch/src/fleet_rate.rs
+++ b/crates/dispatch/src/fleet_rate.rs
@@ -1,12 +1,12 @@
-//! How many requests an upstream may get from the whole fleet ([`budget`], [`sharing`]).
+//! Keeps the requests of the whole fleet to an upstream within a rate ([`budget`], [`sharing`]).
 //!
-//! Such a rate belongs to all hosts together. Each host has an equal
-//! share of it, and lends it to the scheduler that it hands its requests to ([`Lenders`]). So a
-//! scheduler that all hosts use spends all of the rate, a host that is cut off its own share only,
-//! and however the fleet is divided the sum stays within the rate. A share is lent to one
-//! scheduler at a time. The first in order for a cell takes all of the rate once it has heard from some of its hosts,
-//! as most have no request within a second; what those lend that use another one meanwhile comes on top of it,
-//! and what the platform bears beyond the rate is for that.
+//! All hosts have an equal share of such a rate. A host lends its share to the scheduler that it
+//! submits its requests to ([`Lenders`]), and to one scheduler at a time. So a scheduler that all
+//! hosts use spends the whole rate, a host that is cut off spends its own share only, and the sum
+//! stays within the rate however the fleet is partitioned. One exception: the first scheduler in
+//! order for a cell spends the whole rate as soon as some of its hosts lend to it, since most
+//! hosts have no request within a second. What the others lend to another scheduler meanwhile is
+//! sent on top of the rate, for which the platform leaves some room.
 
 mod budget;
 mod sharing;
--- a/crates/dispatch/src/fleet_rate/budget.rs
+++ b/crates/dispatch/src/fleet_rate/budget.rs
@@ -1,48 +1,50 @@
-//! What one sender has spent of fleet-wide rates, against its part of them.
+//! Token buckets for one sender's share of fleet-wide rates.
 
 use decision_core::{Job, Role};
 use domain::{FastMap, HostId, Millis, PerSecond, UpstreamId};
 
-/// A request that was not spent can be made up for within this time. Shares that were saved up
-/// for longer would be spent by all hosts in the same second.
-const SAVED_S: f64 = 0.5;
+/// Unspent requests are saved up for this time at most: all hosts might spend what they saved
+/// within the same second.
+const MAX_SAVED_S: f64 = 0.5;
 
-/// What was sent in the second before a rate began, beyond the rate, is paid back: the upstream has it
-/// in work, and names a rate since it was too much. Not for longer than this, as callers wait.
-const PAID_BACK_S: f64 = 3.0;
+/// Requests sent in the second before a limit began, beyond its rate, are deducted, since the
+/// upstream still works on them and stated the limit because of them. At most this much time of
+/// the rate, as callers wait.
+const MAX_DEDUCTED_S: f64 = 3.0;
 
-/// What the whole fleet may send to an upstream.
+/// The rate that the whole fleet may send to an upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FleetRate {
-    /// Requests of all hosts.
+    /// Requests of all hosts together.
     pub rate: PerSecond,
-    /// When the rate began to hold.
+    /// When the limit began.
     pub since_ms: Millis,
-    /// Requests that this host had sent there in the second before; none where they don't count.
+    /// Requests that this host had sent there in the second before; none where they aren't
+    /// deducted.
     pub sent_before: Option<f64>,
 }
 
-/// What one sender has spent, by its part of the fleet's rates.
+/// Token buckets of one sender, one for each upstream with a limited rate.
 #[derive(Debug)]
 pub(crate) struct RateBudget {
     host: HostId,
-    spent: FastMap<UpstreamId, Allowance>,
+    buckets: FastMap<UpstreamId, TokenBucket>,
 }
 
-/// Requests that are left for one upstream.
+/// Token bucket of one upstream.
 #[derive(Debug, Clone, Copy)]
-struct Allowance {
+struct TokenBucket {
     left: f64,
     at_ms: Millis,
 }
 
 impl RateBudget {
-    /// Nothing is spent yet by this host.
+    /// Creates the budget of a host that has sent nothing yet.
     pub(crate) fn new(host: HostId) -> RateBudget {
-        RateBudget { host, spent: FastMap::default() }
+        RateBudget { host, buckets: FastMap::default() }
     }
 
-    /// Whether a sender that has a part of the fleet's rate may send a request now.
+    /// Whether a sender that has this share of the rate may send a request now.
     pub(crate) fn allows_request(
         &self,
         now_ms: Millis,
@@ -53,7 +55,7 @@
         self.left(now_ms, id, limit, share) >= 1.0
     }
 
-    /// When a sender that has a part of the fleet's rate may send its next request.
+    /// Time until a sender that has this share of the rate may send its next request.
     pub(crate) fn next_request_in(
         &self,
         now_ms: Millis,
@@ -69,22 +71,22 @@
         }
     }
 
-    /// A request is sent.
+    /// Deducts a request that is sent.
     pub(crate) fn spend(&mut self, now_ms: Millis, id: &UpstreamId, limit: FleetRate, share: f64) {
         let left = self.left(now_ms, id, limit, share) - 1.0;
-        self.spent.insert(id.clone(), Allowance { left, at_ms: now_ms });
+        self.buckets.insert(id.clone(), TokenBucket { left, at_ms: now_ms });
     }
 
-    /// A request was not sent after all.
+    /// Returns a request that was not sent after all.
     pub(crate) fn refund(&mut self, id: &UpstreamId) {
-        if let Some(allowance) = self.spent.get_mut(id) {
-            allowance.left += 1.0;
+        if let Some(bucket) = self.buckets.get_mut(id) {
+            bucket.left += 1.0;
         }
     }
 
-    /// Forgets upstreams that are gone, or take what comes.
+    /// Drops upstreams that no longer exist or have no limit.
     pub(crate) fn retain(&mut self, has_rate: impl Fn(&UpstreamId) -> bool) {
-        self.spent.retain(|id, _| has_rate(id));
+        self.buckets.retain(|id, _| has_rate(id));
     }
 
     fn left(&self, now_ms: Millis, id: &UpstreamId, limit: FleetRate, share: f64) -> f64 {
@@ -92,31 +94,32 @@
         if rate <= 0.0 {
             return 0.0;
         }
-        let is_of_this_time = |allowance: &&Allowance| allowance.at_ms >= limit.since_ms;
-        let former = self.spent.get(id).filter(is_of_this_time).copied();
-        let Allowance { left, at_ms } = former.unwrap_or_else(|| self.first(id, limit, share));
+        let is_of_this_limit = |bucket: &&TokenBucket| bucket.at_ms >= limit.since_ms;
+        let former = self.buckets.get(id).filter(is_of_this_limit).copied();
+        let TokenBucket { left, at_ms } = former.unwrap_or_else(|| self.initial(id, limit, share));
         let gained = now_ms.since(at_ms).as_f64() / 1_000.0 * rate;
         match left + gained {
-            left if rate * SAVED_S >= 1.0 => left.min(rate * SAVED_S),
-            // Less than one is saved up in time: what is there and not used is lost again.
+            left if rate * MAX_SAVED_S >= 1.0 => left.min(rate * MAX_SAVED_S),
+            // Less than one request can be saved up in time: a token that isn't used expires
+            // again.
             left if left >= 1.0 => {
-                let cycle = 1.0 + SAVED_S * rate;
+                let cycle = 1.0 + MAX_SAVED_S * rate;
                 let grown = (left - 1.0) % cycle;
-                if grown <= SAVED_S * rate { 1.0 } else { grown - SAVED_S * rate }
+                if grown <= MAX_SAVED_S * rate { 1.0 } else { grown - MAX_SAVED_S * rate }
             }
             left => left,
         }
     }
 
-    /// The first request of each sender comes at another time, and of all of them together one
-    /// at once.
-    fn first(&self, id: &UpstreamId, limit: FleetRate, share: f64) -> Allowance {
+    /// Initial bucket. Spreads the first requests of all senders over time, such that one of them
+    /// may be sent at once.
+    fn initial(&self, id: &UpstreamId, limit: FleetRate, share: f64) -> TokenBucket {
         let drawn = Job { role: Role::Prober, name: id.as_str() }.weight(&self.host);
         let phase = drawn as f64 / u64::MAX as f64;
-        let first = if phase < share { 1.0 } else { phase };
+        let initial = if phase < share { 1.0 } else { phase };
         let rate = limit.rate.0 * share;
         let sent_before = limit.sent_before.unwrap_or_default();
-        let beyond = (sent_before - rate).clamp(0.0, PAID_BACK_S * rate);
-        Allowance { left: first - beyond, at_ms: limit.since_ms }
+        let deducted = (sent_before - rate).clamp(0.0, MAX_DEDUCTED_S * rate);
+        TokenBucket { left: initial - deducted, at_ms: limit.since_ms }
     }
 }
--- a/crates/dispatch/src/fleet_rate/sharing.rs
+++ b/crates/dispatch/src/fleet_rate/sharing.rs
@@ -1,4 +1,5 @@
-//! Whose part of the fleet's rate is whose: each host's own, or lent to a scheduler.
+//! Decides who spends a host's share of a fleet-wide rate: the host itself, or a scheduler that it
+//! lends it to.
 
 use super::budget::{FleetRate, RateBudget};
 use crate::scheduler::{Asker, Cell};
@@ -6,56 +7,57 @@
 use crate::upstream_set::UpstreamSet;
 use domain::{FastMap, HostId, Millis, ServiceName, UpstreamId};
 
-/// A host's share is lent for so long after its last message: the pause between two requests of a
-/// host under load, and a third of the time that upstreams stay cold.
+/// How long a share stays lent after the lender's last submission: covers the pause between two
+/// requests of a host under load.
 const LENT_MS: Millis = Millis(1_000);
 
-/// A message that lends a share may be under way for so long.
-const UNDER_WAY_MS: Millis = Millis(100);
+/// Allowance for the transit time of a message that lends a share.
+const TRANSIT_MS: Millis = Millis(100);
 
-/// Part of a cell's hosts that have to lend for the first scheduler in order to spend all of the rate,
-/// as long as the upstream shows no requests of others: most hosts of a large fleet have no request
-/// within [`LENT_MS`], and what they don't need is not left lying.
-const ENOUGH_LENT: f64 = 0.15;
+/// Share of a cell's hosts that must lend to the first scheduler in order before it spends the
+/// whole rate, as long as the upstream shows no requests of others. Most hosts of a large fleet
+/// have no request within [`LENT_MS`], so waiting for all of them would leave capacity unused.
+const FULL_RATE_LENDERS: f64 = 0.15;
 
-/// Until so long after its start a host knows too few others to tell how large its share is.
-const KNOWING_MS: Millis = Millis(2_000);
+/// For this long after its start, a host knows too few other hosts to compute its share.
+const DISCOVERY_MS: Millis = Millis(2_000);
 
-/// Hosts that a fleet is taken to have until then. A fleet that starts all at once, each host of
-/// it alone, stays within the rate up to this size.
-const UNKNOWN_HOSTS: u32 = 256;
+/// Number of hosts that a fleet is assumed to have until then. Fleets up to this size stay within
+/// the rate even if all hosts start at once, and know no other.
+const ASSUMED_HOSTS: u32 = 256;
 
-/// The hosts that share what the fleet may send to an upstream, as a host sees them so long
-/// after its start.
+/// The size of the fleet that shares a rate, as a host must assume it this long after its start.
 pub fn assumed_fleet(known: FleetShape, since_start_ms: Millis) -> FleetShape {
-    match since_start_ms < KNOWING_MS {
+    match since_start_ms < DISCOVERY_MS {
         true => FleetShape {
-            hosts: known.hosts.max(UNKNOWN_HOSTS),
-            hosts_in_zone: known.hosts_in_zone.max(UNKNOWN_HOSTS),
+            hosts: known.hosts.max(ASSUMED_HOSTS),
+            hosts_in_zone: known.hosts_in_zone.max(ASSUMED_HOSTS),
         },
         false => known,
     }
 }
 
-/// What a host sends by itself, where no scheduler placed the request.
+/// Limits the requests that a host sends to rate-limited upstreams without a scheduler, by the
+/// host's own share of each rate.
 #[derive(Debug)]
 pub struct LocalRateLimiter {
     budget: RateBudget,
-    /// Whom it lent its share last, by cell, and when.
+    /// The scheduler that the share was last lent to, and when, by cell.
     lent: FastMap<Cell, (HostId, Millis)>,
 }
 
 impl LocalRateLimiter {
-    /// A host that has sent nothing yet.
+    /// Creates the limiter of a host that has sent nothing yet.
     pub fn new(host: HostId) -> LocalRateLimiter {
         LocalRateLimiter { budget: RateBudget::new(host), lent: FastMap::default() }
     }
 
-    /// The host hands a request to the scheduler of a cell; true if it lends it its share. One that
-    /// changes its scheduler lends the next one nothing until the last one counts it no more.
+    /// Lends the host's share to the scheduler of a cell; false if it is still lent to another
+    /// one. A host that changes its scheduler lends nothing to the new one until the share it lent
+    /// to the old one has expired.
     pub fn lend(&mut self, now_ms: Millis, cell: &Cell, scheduler: &HostId) -> bool {
         let is_lent_elsewhere = self.lent.get(cell).is_some_and(|(to, lent_ms)| {
-            to != scheduler && now_ms.since(*lent_ms) < LENT_MS + UNDER_WAY_MS
+            to != scheduler && now_ms.since(*lent_ms) < LENT_MS + TRANSIT_MS
         });
         if !is_lent_elsewhere {
             self.lent.insert(cell.clone(), (scheduler.clone(), now_ms));
@@ -63,8 +65,8 @@
         !is_lent_elsewhere
     }
 
-    /// Whether a request may be sent to an upstream, which may take a rate only or have asked this host to
-    /// back off, by one of so many hosts.
+    /// Whether one of `hosts` hosts may send a request to an upstream now, given its rate limit
+    /// and backoff.
     pub fn may_send(
         &self,
         now_ms: Millis,
@@ -72,15 +74,15 @@
         id: &UpstreamId,
         hosts: u32,
     ) -> bool {
-        let has_one = |limit| {
+        let allows_request = |limit| {
             let share = self.share(now_ms, upstreams, id, hosts);
             self.budget.allows_request(now_ms, id, limit, share)
         };
         upstreams.remaining_backoff(now_ms, id).is_none()
-            && upstreams.fleet_rate(now_ms, id).map(by_itself).is_none_or(has_one)
+            && upstreams.fleet_rate(now_ms, id).map(with_most_deducted).is_none_or(allows_request)
     }
 
-    /// Upstreams of a service that get nothing for now of one of so many hosts.
+    /// Upstreams of a service to which one of `hosts` hosts may not send a request now.
     pub fn blocked_upstreams(
         &self,
         now_ms: Millis,
@@ -91,11 +93,11 @@
         if !upstreams.may_limit(service) {
             return Vec::new();
         }
-        let is_held_back = |id: &&UpstreamId| !self.may_send(now_ms, upstreams, id, hosts);
-        upstreams.of_service(service).iter().filter(is_held_back).cloned().collect()
+        let is_blocked = |id: &&UpstreamId| !self.may_send(now_ms, upstreams, id, hosts);
+        upstreams.of_service(service).iter().filter(is_blocked).cloned().collect()
     }
 
-    /// The request is sent.
+    /// Deducts a request that is sent.
     pub fn record_sent(
         &mut self,
         now_ms: Millis,
@@ -103,19 +105,20 @@
         id: &UpstreamId,
         hosts: u32,
     ) {
-        if let Some(limit) = upstreams.fleet_rate(now_ms, id).map(by_itself) {
+        if let Some(limit) = upstreams.fleet_rate(now_ms, id).map(with_most_deducted) {
             let share = self.share(now_ms, upstreams, id, hosts);
             self.budget.spend(now_ms, id, limit, share);
         }
     }
 
-    /// Forgets upstreams that are gone, and what is lent no more.
+    /// Drops upstreams that no longer exist, and expired loans.
     pub fn retain(&mut self, now_ms: Millis, is_known: impl Fn(&UpstreamId) -> bool) {
         self.budget.retain(is_known);
-        self.lent.retain(|_, (_, lent_ms)| now_ms.since(*lent_ms) < LENT_MS + UNDER_WAY_MS);
+        self.lent.retain(|_, (_, lent_ms)| now_ms.since(*lent_ms) < LENT_MS + TRANSIT_MS);
     }
 
-    /// Nothing while it is lent to the scheduler of a cell that the upstream is of.
+    /// The share of the rate that this host may spend itself: none while it is lent to the
+    /// scheduler of a cell that the upstream belongs to.
     fn share(&self, now_ms: Millis, upstreams: &UpstreamSet, id: &UpstreamId, hosts: u32) -> f64 {
         let is_lent = self.lent.iter().any(|(cell, (_, lent_ms))| {
             now_ms.since(*lent_ms) < LENT_MS
@@ -125,37 +128,37 @@
     }
 }
 
-/// A host by itself sees too little of what the others sent before a limit: it takes it for far more
-/// than the limit.
-fn by_itself(limit: FleetRate) -> FleetRate {
+/// A host alone sees too few of the requests that the fleet sent before the limit began, so it
+/// assumes the most that is deducted.
+fn with_most_deducted(limit: FleetRate) -> FleetRate {
     FleetRate { sent_before: limit.sent_before.map(|_| f64::INFINITY), ..limit }
 }
 
-/// What hosts lend to the scheduler of a cell.
+/// The shares that hosts lend to the scheduler of a cell.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LentShares {
-    /// Part of the fleet's hosts that lend it their shares.
+    /// Share of all hosts that lend to it.
     pub(crate) of_fleet: f64,
-    /// Part of the hosts that use the cell first: all of them, or those of its availability zone.
+    /// Share of the hosts that prefer the cell: all hosts, or those of its availability zone.
     pub(crate) of_cell: f64,
-    /// No other host comes before it in order: of two that schedule the same cell just one may take
-    /// more than it was lent.
+    /// No other host precedes it in order. Of two hosts that both schedule a cell, only one may
+    /// spend more than it was lent.
     pub(crate) is_first: bool,
 }
 
 impl LentShares {
-    /// The part of the rate that may be spent on an upstream, by whether that has just shown
-    /// requests of others.
+    /// The share of the rate that may be spent on an upstream; `is_alone` if the upstream has just
+    /// shown no requests of others.
     pub(crate) fn spendable(&self, is_alone: bool) -> f64 {
         match (self.is_first, is_alone) {
-            (true, true) => (self.of_cell / ENOUGH_LENT).min(1.0),
+            (true, true) => (self.of_cell / FULL_RATE_LENDERS).min(1.0),
             (true, false) => self.of_cell,
             (false, _) => self.of_fleet,
         }
     }
 }
 
-/// Hosts that hand their requests to a scheduler, and lend it their shares.
+/// Hosts that lend a scheduler their shares, by cell.
 #[derive(Debug, Default)]
 pub(crate) struct Lenders {
     lent_ms: FastMap<Cell, FastMap<Asker, Millis>>,
@@ -166,7 +169,7 @@
         self.lent_ms.entry(cell.clone()).or_default().insert(asker, now_ms);
     }
 
-    /// How many lend their shares by now.
+    /// Number of hosts whose loan hasn't expired.
     pub(crate) fn count(&self, now_ms: Millis, cell: &Cell) -> u32 {
         let is_lent = |at_ms: &&Millis| now_ms.since(**at_ms) < LENT_MS;
         let lenders = self.lent_ms.get(cell);
