--- a/crates/dispatch/src/backpressure.rs
+++ b/crates/dispatch/src/backpressure.rs
@@ -1,15 +1,16 @@
-//! What upstreams say in their answers of the load that they bear.
+//! Load and leaving that upstreams state in their responses, and what follows for hosts.
 //!
-//! One that refuses a request may ask the host that sent it to back off for a while; that holds for this
-//! host alone. An upstream in need limits the requests a second that it takes from all hosts together.
-//! One that is leaving wants nothing new from any host, for the rest of its run. Both are
-//! said in answers, so one host hears of it first. Hosts tell each other ([`message`]): the last word
-//! of the upstream holds, by when it was said, and a run that has ended says nothing of the next.
-//! How many of these requests are whose is [`crate::fleet_rate`]'s matter.
+//! An upstream that refuses a request may ask the host that sent it to back off for a while; that
+//! concerns this host only. An overloaded upstream limits the requests a second that it accepts
+//! from all hosts together. A leaving one wants no new request from any host for the rest of its
+//! process run. The last two concern the fleet, but only one host receives the response, so hosts
+//! broadcast them ([`message`]). The latest statement of the upstream wins, and statements of one
+//! process run don't apply to the next. [`crate::fleet_rate`] divides a limited rate among the
+//! hosts.
 
 mod message;
 mod rate_limit;
-mod stated;
+mod statements;
 
 pub use message::{BackpressureMessage, BackpressureUpdate};
 pub use rate_limit::LimitChange;
@@ -18,238 +19,254 @@
 use domain::{FastMap, Millis, Past, PerSecond, UpstreamId};
 use published::RunStart;
 use serde::{Deserialize, Serialize};
-use stated::{Leaving, Stated};
+use statements::{Leaving, Statements};
 use std::cmp::Reverse;
 
-/// What was said of an upstream that is not published is kept for so long: an entry may lapse while
-/// the source is away, and be back.
-const KEPT_MS: Millis = Millis(60_000);
+/// How long statements of an upstream are kept that isn't published: its entry may expire while
+/// the source is unreachable, and return.
+const RETENTION_MS: Millis = Millis(60_000);
 
-/// Upstreams that one message tells of: 30 bytes each, all in one datagram.
-const MOST_TOLD: usize = 128;
+/// Upstreams in one message: 30 bytes each, to fit in one datagram.
+const MAX_UPDATES: usize = 128;
 
-/// Longest time for which an upstream is left alone because it asked for it. One that names a year is
-/// tried again with a request a minute of each host.
+/// Longest backoff that an upstream can ask for. One that asks for a year receives a request of
+/// each host every minute.
 pub const LONGEST_BACKOFF_MS: Millis = Millis(60_000);
 
-/// What one answer says.
+/// The backpressure in one response.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Backpressure {
-    /// Requests that the upstream takes from all hosts together; none if it takes what comes.
+    /// Requests a second that the upstream accepts from all hosts together; none if it is
+    /// unlimited.
     pub rate_limit: Option<PerSecond>,
-    /// For so long it wants nothing from the host that it answers.
+    /// Time for which the receiving host is to back off.
     pub backoff_ms: Option<Millis>,
-    /// It is leaving: it wants nothing new from any host.
+    /// It is leaving: no host is to send new requests.
     pub is_leaving: bool,
 }
 
-/// What an upstream answered.
+/// What kind of response it was.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// A request that it served. Only these say by a mark that is missing that something is over.
+    /// To a request that it served. Only here does an absent header mean that a limit is over.
     Served,
-    /// A request that it refused or failed.
+    /// To a request that it refused, or that failed.
     Failed,
-    /// A health check.
+    /// To a health check.
     HealthCheck,
 }
 
-/// Something else holds of an upstream.
+/// A change in what an upstream states.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BackpressureChange {
     /// Which upstream.
     pub upstream: UpstreamId,
-    /// What became of its limit, if anything did.
+    /// The change of its rate limit.
     pub limit: Option<LimitChange>,
-    /// For so long this host leaves it alone, if that began.
+    /// For how long this host backs off, if it has just begun to.
     pub backoff_ms: Option<Millis>,
-    /// It said for the first time that it is leaving.
+    /// It announced for the first time that it is leaving.
     pub is_leaving: bool,
 }
 
-/// What is known of all upstreams.
+/// Backpressure of all upstreams that stated any.
 #[derive(Debug, Default)]
 pub struct BackpressureSet {
-    stated: FastMap<UpstreamId, Stated>,
+    statements: FastMap<UpstreamId, Statements>,
 }
 
 impl BackpressureSet {
-    /// A run of an upstream answered this host, which had sent it `sent_before` requests in the second
-    /// before.
+    /// Records the backpressure in a response of an upstream's process run to this host, which had
+    /// sent it `sent_before` requests in the second before; returns what changed.
     pub fn record(
         &mut self,
         now_ms: Millis,
         at: (&UpstreamId, RunStart),
         kind: ResponseKind,
-        said: Backpressure,
+        stated: Backpressure,
         sent_before: f64,
     ) -> Option<BackpressureChange> {
-        if !self.is_evidence(at.0, kind, said) {
+        if !self.may_change_anything(at.0, kind, stated) {
             return None;
         }
-        let stated = self.of_run(at)?;
-        stated.note_heard(now_ms, said);
-        let for_ms = said.backoff_ms.unwrap_or_default().min(LONGEST_BACKOFF_MS);
-        let begins = stated.back_off(now_ms, for_ms);
-        let limit = match (kind, said.rate_limit) {
+        let statements = self.get_mut(at)?;
+        statements.refresh(now_ms, stated);
+        let for_ms = stated.backoff_ms.unwrap_or_default().min(LONGEST_BACKOFF_MS);
+        let begins = statements.start_backoff(now_ms, for_ms);
+        let limit = match (kind, stated.rate_limit) {
             (ResponseKind::Failed | ResponseKind::HealthCheck, None) => None,
-            (_, rate) => stated.limit.note(now_ms, rate, sent_before),
+            (_, rate) => statements.limit.record(now_ms, rate, sent_before),
         };
-        let is_leaving = said.is_leaving && stated.leave(Leaving::Untold);
+        let is_leaving = stated.is_leaving && statements.record_leaving(Leaving::Pending);
         let backoff_ms = begins.then_some(for_ms);
         let change = BackpressureChange { upstream: at.0.clone(), limit, backoff_ms, is_leaving };
         (limit.is_some() || begins || is_leaving).then_some(change)
     }
 
-    /// The same of an answer to another host, which tells the fleet of it.
+    /// Records the backpressure in a response to another host, which itself broadcasts it to the
+    /// fleet.
     pub fn record_forwarded(
         &mut self,
         now_ms: Millis,
         at: (&UpstreamId, RunStart),
         kind: ResponseKind,
-        said: Backpressure,
+        stated: Backpressure,
         sent_before: f64,
     ) {
         // The backoff is the other host's alone.
-        let said = Backpressure { backoff_ms: None, ..said };
-        if !self.is_evidence(at.0, kind, said) {
+        let stated = Backpressure { backoff_ms: None, ..stated };
+        if !self.may_change_anything(at.0, kind, stated) {
             return;
         }
-        let Some(stated) = self.of_run(at) else { return };
-        stated.note_heard(now_ms, said);
-        if said.is_leaving {
-            stated.leave(Leaving::Told);
+        let Some(statements) = self.get_mut(at) else { return };
+        statements.refresh(now_ms, stated);
+        if stated.is_leaving {
+            statements.record_leaving(Leaving::Known);
         }
-        if kind == ResponseKind::Served || said.rate_limit.is_some() {
-            let said_now = Past::ago(now_ms, Millis::ZERO);
-            stated.limit.take(now_ms, said_now, said.rate_limit, sent_before);
+        if kind == ResponseKind::Served || stated.rate_limit.is_some() {
+            let stated_now = Past::ago(now_ms, Millis::ZERO);
+            statements.limit.merge(now_ms, stated_now, stated.rate_limit, sent_before);
         }
     }
 
-    /// Takes what a peer told; `sent_before` as for [`BackpressureSet::note`].
+    /// Merges a peer's updates; `sent_before` as for [`BackpressureSet::record`].
     pub fn merge(
         &mut self,
         now_ms: Millis,
-        told: Vec<BackpressureUpdate>,
+        updates: Vec<BackpressureUpdate>,
         sent_before: impl Fn(&UpstreamId) -> f64,
     ) -> Vec<BackpressureChange> {
-        let take = |told: BackpressureUpdate| {
-            let said = Past::ago(now_ms, told.age_ms);
-            let stated = self.of_run((&told.upstream, told.run))?;
-            stated.heard_ms = now_ms;
-            let before = sent_before(&told.upstream);
-            let limit = stated.limit.take(now_ms, said, told.rate_limit, before);
-            let is_leaving = told.is_leaving && !stated.is_leaving();
-            if told.is_leaving {
-                // Who was told tells nobody.
-                stated.leaving = Leaving::Told;
+        let merge_one = |update: BackpressureUpdate| {
+            let stated = Past::ago(now_ms, update.age_ms);
+            let statements = self.get_mut((&update.upstream, update.run))?;
+            statements.stated_ms = now_ms;
+            let before = sent_before(&update.upstream);
+            let limit = statements.limit.merge(now_ms, stated, update.rate_limit, before);
+            let is_leaving = update.is_leaving && !statements.is_leaving();
+            if update.is_leaving {
+                // A host that received an update doesn't broadcast it.
+                statements.leaving = Leaving::Known;
             }
-            let change =
-                BackpressureChange { upstream: told.upstream, limit, backoff_ms: None, is_leaving };
+            let change = BackpressureChange {
+                upstream: update.upstream,
+                limit,
+                backoff_ms: None,
+                is_leaving,
+            };
             (limit.is_some() || is_leaving).then_some(change)
         };
-        told.into_iter().take(MOST_TOLD).filter_map(take).collect()
+        updates.into_iter().take(MAX_UPDATES).filter_map(merge_one).collect()
     }
 
-    /// What the whole fleet may send to a run of an upstream; none if that is not limited.
+    /// The rate that the whole fleet may send to a process run of an upstream; none if it is
+    /// unlimited.
     pub fn rate_limit(&self, id: &UpstreamId, run: RunStart) -> Option<FleetRate> {
-        self.of(id, run)?.limit.in_force()
+        self.get(id, run)?.limit.in_force()
     }
 
-    /// Whether a run of an upstream said that it is leaving.
+    /// Whether a process run of an upstream announced that it is leaving.
     pub fn is_leaving(&self, id: &UpstreamId, run: RunStart) -> bool {
-        self.of(id, run).is_some_and(Stated::is_leaving)
+        self.get(id, run).is_some_and(Statements::is_leaving)
     }
 
-    /// How many upstreams said that they are leaving.
+    /// Number of upstreams that announced that they are leaving.
     pub fn count_leaving(&self) -> usize {
-        self.stated.values().filter(|stated| stated.is_leaving()).count()
+        self.statements.values().filter(|statements| statements.is_leaving()).count()
     }
 
-    /// How much longer this host leaves a run of an upstream alone, as it was asked to.
+    /// Time for which this host must still back off from a process run of an upstream; none if it
+    /// need not.
     pub fn remaining_backoff(
         &self,
         now_ms: Millis,
         id: &UpstreamId,
         run: RunStart,
     ) -> Option<Millis> {
-        let stated = self.of(id, run)?;
-        (now_ms < stated.backoff_until_ms).then(|| stated.backoff_until_ms.since(now_ms))
+        let statements = self.get(id, run)?;
+        (now_ms < statements.backoff_until_ms).then(|| statements.backoff_until_ms.since(now_ms))
     }
 
-    /// Upstreams that this host leaves alone, as they asked it to.
+    /// Upstreams that this host backs off from.
     pub fn upstreams_in_backoff(&self, now_ms: Millis) -> impl Iterator<Item = &UpstreamId> {
-        let in_force = move |(_, stated): &(&UpstreamId, &Stated)| now_ms < stated.backoff_until_ms;
-        self.stated.iter().filter(in_force).map(|(id, _)| id)
+        let in_force = move |(_, statements): &(&UpstreamId, &Statements)| {
+            now_ms < statements.backoff_until_ms
+        };
+        self.statements.iter().filter(in_force).map(|(id, _)| id)
     }
 
-    /// Whether no upstream says anything.
+    /// Whether no upstream stated anything.
     pub fn is_empty(&self) -> bool {
-        self.stated.is_empty()
+        self.statements.is_empty()
     }
 
-    /// How many upstreams limit what they take.
+    /// Number of upstreams with a rate limit.
     pub fn count_limited(&self) -> usize {
-        self.stated.values().filter(|stated| stated.limit.in_force().is_some()).count()
+        self.statements.values().filter(|statements| statements.limit.in_force().is_some()).count()
     }
 
-    /// Digest of what holds: equal on hosts that need to tell each other nothing.
+    /// Digest of everything that peers need to know: equal on hosts that have the same.
     pub fn digest(&self) -> u64 {
-        let digests = self.stated.iter().filter_map(|(id, stated)| stated.digest(id));
+        let digests = self.statements.iter().filter_map(|(id, statements)| statements.digest(id));
         digests.fold(0, u64::wrapping_add)
     }
 
-    /// Whether peers are to be told of something.
+    /// Whether there are updates to broadcast.
     pub fn has_pending(&self) -> bool {
-        self.stated.values().any(Stated::is_untold)
+        self.statements.values().any(Statements::has_pending)
     }
 
-    /// What peers are to be told now; they are taken to hear it.
+    /// Takes the updates to broadcast; they count as received from then on.
     pub fn take_pending(&mut self, now_ms: Millis) -> Vec<BackpressureUpdate> {
-        let untold = self.stated.iter_mut().filter_map(|(id, stated)| {
-            let is_untold = stated.take_untold();
-            is_untold.then(|| stated.tell(now_ms, id))
+        let pending = self.statements.iter_mut().filter_map(|(id, statements)| {
+            let has_pending = statements.take_pending();
+            has_pending.then(|| statements.to_update(now_ms, id))
         });
-        untold.take(MOST_TOLD).collect()
+        pending.take(MAX_UPDATES).collect()
     }
 
-    /// What a peer that holds something else is told; where that is too much, the latest of it.
+    /// All updates for a peer with a different digest; if they exceed one message, the latest.
     pub fn export(&self, now_ms: Millis) -> Vec<BackpressureUpdate> {
-        let mut of_peers: Vec<(&UpstreamId, &Stated)> =
-            self.stated.iter().filter(|(_, stated)| stated.concerns_peers()).collect();
-        of_peers.sort_by_key(|(id, stated)| (Reverse(stated.heard_ms), *id));
-        let told = of_peers.into_iter().take(MOST_TOLD);
-        told.map(|(id, stated)| stated.tell(now_ms, id)).collect()
+        let mut concerning_peers: Vec<(&UpstreamId, &Statements)> =
+            self.statements.iter().filter(|(_, statements)| statements.concerns_peers()).collect();
+        concerning_peers.sort_by_key(|(id, statements)| (Reverse(statements.stated_ms), *id));
+        let latest = concerning_peers.into_iter().take(MAX_UPDATES);
+        latest.map(|(id, statements)| statements.to_update(now_ms, id)).collect()
     }
 
-    /// Forgets upstreams that are gone for good.
+    /// Drops upstreams that stated nothing recently and that this host doesn't back off from,
+    /// unless they still exist and have a limit or are leaving.
     pub fn forget(&mut self, now_ms: Millis, is_known: impl Fn(&UpstreamId) -> bool) {
-        self.stated.retain(|id, stated| {
-            let is_recent = now_ms.since(stated.heard_ms) < KEPT_MS;
-            let is_backing_off = now_ms < stated.backoff_until_ms;
-            let holds = stated.limit.in_force().is_some() || stated.is_leaving();
+        self.statements.retain(|id, statements| {
+            let is_recent = now_ms.since(statements.stated_ms) < RETENTION_MS;
+            let is_backing_off = now_ms < statements.backoff_until_ms;
+            let holds = statements.limit.in_force().is_some() || statements.is_leaving();
             is_recent || is_backing_off || (is_known(id) && holds)
         });
     }
 
-    /// Whether an answer is evidence of anything new. Of an upstream that never said anything
-    /// nothing is kept.
-    fn is_evidence(&self, id: &UpstreamId, kind: ResponseKind, said: Backpressure) -> bool {
-        let ends_something = kind == ResponseKind::Served && self.stated.contains_key(id);
-        said != Backpressure::default() || ends_something
+    /// Whether a response may change anything. Upstreams that never stated anything have no state
+    /// here.
+    fn may_change_anything(
+        &self,
+        id: &UpstreamId,
+        kind: ResponseKind,
+        stated: Backpressure,
+    ) -> bool {
+        let ends_something = kind == ResponseKind::Served && self.statements.contains_key(id);
+        stated != Backpressure::default() || ends_something
     }
 
-    /// What a run of an upstream says, if it says anything.
-    fn of(&self, id: &UpstreamId, run: RunStart) -> Option<&Stated> {
-        self.stated.get(id).filter(|stated| stated.run.is_same(run))
+    /// The statements of a process run, if there are any.
+    fn get(&self, id: &UpstreamId, run: RunStart) -> Option<&Statements> {
+        self.statements.get(id).filter(|statements| statements.run.is_same(run))
     }
 
-    /// The same, to be changed; nothing of a later run is given up for an earlier one.
-    fn of_run(&mut self, (id, run): (&UpstreamId, RunStart)) -> Option<&mut Stated> {
-        let stated = self.stated.entry(id.clone()).or_insert_with(|| Stated::of_run(run));
-        if run.is_after(stated.run) {
-            *stated = Stated::of_run(run);
+    /// The same, mutable; a later process run replaces an earlier one. None for an ended run.
+    fn get_mut(&mut self, (id, run): (&UpstreamId, RunStart)) -> Option<&mut Statements> {
+        let statements = self.statements.entry(id.clone()).or_insert_with(|| Statements::new(run));
+        if run.is_after(statements.run) {
+            *statements = Statements::new(run);
         }
-        stated.run.is_same(run).then_some(stated)
+        statements.run.is_same(run).then_some(statements)
     }
 }
--- a/crates/dispatch/src/backpressure/message.rs
+++ b/crates/dispatch/src/backpressure/message.rs
@@ -1,44 +1,44 @@
-//! What hosts tell each other of upstreams' backpressure.
+//! Messages in which hosts broadcast upstreams' backpressure.
 //!
-//! Points in time travel as ages, since each host has a clock of its own.
+//! They carry ages instead of points in time, since each host has a clock of its own.
 
 use domain::{Millis, PerSecond, UpstreamId};
 use published::RunStart;
 use serde::{Deserialize, Serialize};
 
-/// A message that may be lost, doubled, late or out of order.
+/// A message that may be lost, duplicated, late or out of order.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum BackpressureMessage {
-    /// What upstreams said.
+    /// What upstreams stated.
     Update {
-        /// Some of them.
+        /// Updates of some upstreams.
         updates: Vec<BackpressureUpdate>,
-        /// Whether the host that hears it is to pass it on in its availability zone.
+        /// Whether the receiver is to relay it within its availability zone.
         should_relay: bool,
     },
-    /// Digest of what holds; whoever holds something else asks for it.
+    /// Digest of the sender's state; a receiver with a different one requests updates.
     Digest {
         /// The digest.
         digest: u64,
     },
-    /// Whoever hears it is to tell what it holds, if that is something else.
+    /// Requests all updates, if the receiver's state differs.
     Request {
-        /// Digest of what the asking host holds.
+        /// Digest of the requesting host's state.
         digest: u64,
     },
 }
 
-/// What an upstream said last.
+/// The latest statements of an upstream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BackpressureUpdate {
-    /// Which.
+    /// The upstream.
     pub upstream: UpstreamId,
-    /// Which run of it.
+    /// The process run that stated it.
     pub run: RunStart,
-    /// Requests that it takes from all hosts together; none if it takes what comes.
+    /// Requests a second that it accepts from all hosts together; none if it is unlimited.
     pub rate_limit: Option<PerSecond>,
     /// It is leaving.
     pub is_leaving: bool,
-    /// Time since it said last what it takes.
+    /// Time since it last stated its rate limit, or that there is none.
     pub age_ms: Millis,
 }
--- a/crates/dispatch/src/backpressure/rate_limit.rs
+++ b/crates/dispatch/src/backpressure/rate_limit.rs
@@ -1,42 +1,44 @@
-//! The limit that one run of an upstream names.
+//! The rate limit that one process run of an upstream stated.
 
 use crate::fleet_rate::FleetRate;
 use domain::{Millis, Past, PerSecond};
 use serde::Serialize;
 
-/// Smallest limit that is kept to: with nothing sent to an upstream that named zero, nobody would
-/// hear that the limit is over. The whole fleet finds out with one request in so many seconds.
-const LEAST_RATE: PerSecond = PerSecond(0.25);
+/// Lowest limit that is applied. With no requests at all to an upstream that stated zero, no host
+/// would learn that the limit is over; at this rate, the whole fleet sends one request every four
+/// seconds.
+const MIN_RATE: PerSecond = PerSecond(0.25);
 
-/// Part by which a limit may change without peers being told: each answer may name another.
-const SAME_PART: f64 = 0.1;
+/// Relative change of a limit that isn't broadcast, since each response may state a slightly
+/// different one.
+const TOLERANCE: f64 = 0.1;
 
-/// What became of a limit.
+/// A change of a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "limit", content = "per_s")]
 pub enum LimitChange {
     /// There was none before.
     Began(PerSecond),
-    /// It is another one.
+    /// It has another value.
     Changed(PerSecond),
-    /// The upstream takes what comes.
+    /// The upstream is unlimited again.
     Ended,
 }
 
 #[derive(Debug, Default)]
 pub(super) struct RateLimit {
     rate: Option<PerSecond>,
-    /// It named one before, and does no more.
+    /// The upstream stated one before, and no longer does.
     has_ended: bool,
-    /// When the upstream said so last.
-    said: Option<Past>,
-    /// When it began to limit what it takes.
+    /// When the upstream last stated `rate`.
+    stated_at: Option<Past>,
+    /// When the limit began.
     since_ms: Millis,
-    /// Requests that this host had sent it in the second before.
+    /// Requests that this host had sent in the second before the limit began.
     sent_before: f64,
-    /// What peers hold, as far as they were told.
-    told: Option<PerSecond>,
-    is_untold: bool,
+    /// The limit that peers know, or receive next if `is_pending`.
+    broadcast_rate: Option<PerSecond>,
+    is_pending: bool,
 }
 
 impl RateLimit {
@@ -44,63 +46,63 @@
         self.rate
     }
 
-    /// Time since the upstream said so last.
+    /// Time since the upstream last stated it.
     pub(super) fn age_ms(&self, now_ms: Millis) -> Millis {
-        self.said.map_or(Millis::MAX, |said| said.age_ms(now_ms))
+        self.stated_at.map_or(Millis::MAX, |stated_at| stated_at.age_ms(now_ms))
     }
 
-    /// Whether any host ever heard the upstream name one, or end it.
-    pub(super) fn was_named(&self) -> bool {
+    /// Whether the upstream ever stated a limit.
+    pub(super) fn was_stated(&self) -> bool {
         self.rate.is_some() || self.has_ended
     }
 
-    pub(super) fn told(&self) -> Option<PerSecond> {
-        self.told
+    pub(super) fn broadcast_rate(&self) -> Option<PerSecond> {
+        self.broadcast_rate
     }
 
     pub(super) fn in_force(&self) -> Option<FleetRate> {
-        let rate = PerSecond(self.rate?.0.max(LEAST_RATE.0));
+        let rate = PerSecond(self.rate?.0.max(MIN_RATE.0));
         Some(FleetRate { rate, since_ms: self.since_ms, sent_before: Some(self.sent_before) })
     }
 
-    /// The upstream said so now, to this host.
-    pub(super) fn note(
+    /// Records what the upstream stated in a response to this host.
+    pub(super) fn record(
         &mut self,
         now_ms: Millis,
         rate: Option<PerSecond>,
         sent_before: f64,
     ) -> Option<LimitChange> {
-        self.said = Some(Past::ago(now_ms, Millis::ZERO));
-        if !is_about(self.told, rate) {
-            self.told = rate;
-            self.is_untold = true;
+        self.stated_at = Some(Past::ago(now_ms, Millis::ZERO));
+        if !is_close(self.broadcast_rate, rate) {
+            self.broadcast_rate = rate;
+            self.is_pending = true;
         }
         self.set(now_ms, rate, sent_before)
     }
 
-    /// It said so to another host, which told this one.
-    pub(super) fn take(
+    /// Merges what the upstream stated in a response to another host; ignored unless it is newer.
+    pub(super) fn merge(
         &mut self,
         now_ms: Millis,
-        said: Past,
+        stated_at: Past,
         rate: Option<PerSecond>,
         sent_before: f64,
     ) -> Option<LimitChange> {
-        if self.said.is_some_and(|known| said <= known) {
+        if self.stated_at.is_some_and(|known| stated_at <= known) {
             return None;
         }
-        self.said = Some(said);
-        self.told = rate;
-        self.is_untold = false;
+        self.stated_at = Some(stated_at);
+        self.broadcast_rate = rate;
+        self.is_pending = false;
         self.set(now_ms, rate, sent_before)
     }
 
-    pub(super) fn is_untold(&self) -> bool {
-        self.is_untold
+    pub(super) fn is_pending(&self) -> bool {
+        self.is_pending
     }
 
-    pub(super) fn take_untold(&mut self) -> bool {
-        std::mem::take(&mut self.is_untold)
+    pub(super) fn take_pending(&mut self) -> bool {
+        std::mem::take(&mut self.is_pending)
     }
 
     fn set(
@@ -120,7 +122,7 @@
                 self.has_ended = true;
                 Some(LimitChange::Ended)
             }
-            (Some(_), Some(rate)) if !is_about(former, Some(rate)) => {
+            (Some(_), Some(rate)) if !is_close(former, Some(rate)) => {
                 Some(LimitChange::Changed(rate))
             }
             _ => None,
@@ -128,9 +130,9 @@
     }
 }
 
-fn is_about(one: Option<PerSecond>, other: Option<PerSecond>) -> bool {
+fn is_close(one: Option<PerSecond>, other: Option<PerSecond>) -> bool {
     match (one, other) {
-        (Some(one), Some(other)) => (one.0 - other.0).abs() <= SAME_PART * one.0,
+        (Some(one), Some(other)) => (one.0 - other.0).abs() <= TOLERANCE * one.0,
         (one, other) => one.is_none() && other.is_none(),
     }
 }
