--- a/crates/dispatch/src/fleet_rate/sharing.rs
+++ b/crates/dispatch/src/fleet_rate/sharing.rs
@@ -2,8 +2,8 @@
 //! lends it to.
 
 use super::budget::{FleetRate, RateBudget};
-use crate::scheduler::{Asker, Cell};
-use crate::subset::FleetShape;
+use crate::scheduler::{Cell, Requester};
+use crate::subset::FleetSize;
 use crate::upstream_set::UpstreamSet;
 use domain::{FastMap, HostId, Millis, ServiceName, UpstreamId};
 
@@ -27,9 +27,9 @@
 const ASSUMED_HOSTS: u32 = 256;
 
 /// The size of the fleet that shares a rate, as a host must assume it this long after its start.
-pub fn assumed_fleet(known: FleetShape, since_start_ms: Millis) -> FleetShape {
+pub fn assumed_fleet(known: FleetSize, since_start_ms: Millis) -> FleetSize {
     match since_start_ms < DISCOVERY_MS {
-        true => FleetShape {
+        true => FleetSize {
             hosts: known.hosts.max(ASSUMED_HOSTS),
             hosts_in_zone: known.hosts_in_zone.max(ASSUMED_HOSTS),
         },
@@ -122,7 +122,7 @@
     fn share(&self, now_ms: Millis, upstreams: &UpstreamSet, id: &UpstreamId, hosts: u32) -> f64 {
         let is_lent = self.lent.iter().any(|(cell, (_, lent_ms))| {
             now_ms.since(*lent_ms) < LENT_MS
-                && upstreams.get(id).is_some_and(|known| cell.holds(&known.entry))
+                && upstreams.get(id).is_some_and(|known| cell.contains(&known.entry))
         });
         if is_lent { 0.0 } else { 1.0 / f64::from(hosts.max(1)) }
     }
@@ -143,14 +143,14 @@
     pub(crate) of_cell: f64,
     /// No other host precedes it in order. Of two hosts that both schedule a cell, only one may
     /// spend more than it was lent.
-    pub(crate) is_first: bool,
+    pub(crate) is_primary: bool,
 }
 
 impl LentShares {
     /// The share of the rate that may be spent on an upstream; `is_alone` if the upstream has just
     /// shown no requests of others.
     pub(crate) fn spendable(&self, is_alone: bool) -> f64 {
-        match (self.is_first, is_alone) {
+        match (self.is_primary, is_alone) {
             (true, true) => (self.of_cell / FULL_RATE_LENDERS).min(1.0),
             (true, false) => self.of_cell,
             (false, _) => self.of_fleet,
@@ -161,12 +161,12 @@
 /// Hosts that lend a scheduler their shares, by cell.
 #[derive(Debug, Default)]
 pub(crate) struct Lenders {
-    lent_ms: FastMap<Cell, FastMap<Asker, Millis>>,
+    lent_ms: FastMap<Cell, FastMap<Requester, Millis>>,
 }
 
 impl Lenders {
-    pub(crate) fn record(&mut self, now_ms: Millis, cell: &Cell, asker: Asker) {
-        self.lent_ms.entry(cell.clone()).or_default().insert(asker, now_ms);
+    pub(crate) fn record(&mut self, now_ms: Millis, cell: &Cell, requester: Requester) {
+        self.lent_ms.entry(cell.clone()).or_default().insert(requester, now_ms);
     }
 
     /// Number of hosts whose loan hasn't expired.
--- a/crates/dispatch/src/upstream.rs
+++ b/crates/dispatch/src/upstream.rs
@@ -191,7 +191,7 @@
     /// of other hosts by its report, which the mean of the service replaces as it ages.
     pub fn estimated_requests(&self, now_ms: Millis, service: ServiceLoad) -> f64 {
         let in_flight = f64::from(self.in_flight);
-        let mean = service.others * f64::from(self.entry.slots.0);
+        let mean = service.others_per_slot * f64::from(self.entry.slots.0);
         let Some((_, age_ms)) = self.report(now_ms) else { return mean + in_flight };
         mean + (self.other_requests - mean) * report_weight(age_ms) + in_flight
     }
--- a/crates/dispatch/src/upstream_set/probe_targets.rs
+++ b/crates/dispatch/src/upstream_set/probe_targets.rs
@@ -102,7 +102,7 @@
     ) -> Option<f64> {
         let known = self.known.get(id)?;
         // [`Group`] handles the zone here, so it doesn't add to the cost.
-        let cost = self.weigh_from(now_ms, id, &known.entry.availability_zone)?.cost;
+        let cost = self.estimate_cost_from(now_ms, id, &known.entry.availability_zone)?.cost;
         let is_preferred = is_connected || self.is_new_upstream(now_ms, known);
         let connecting = if is_preferred { 0.0 } else { CONNECT_COST };
         Some(cost * (1.0 + COST_JITTER * rng.random::<f64>()) + connecting)
--- a/crates/dispatch/tests/support/rate_site.rs
+++ b/crates/dispatch/tests/support/rate_site.rs
@@ -7,11 +7,11 @@
 use super::submission;
 use dispatch::backpressure::BackpressureUpdate;
 use dispatch::scheduler::{
-    Asker, Cell, Directory, Effect, Outcome, PlacementMessage, Submission, Ticket, Withdrawal,
+    Cell, Directory, Effect, Outcome, PlacementMessage, Requester, Submission, Ticket, Withdrawal,
 };
 use dispatch::{AttemptFailure, LoadReport, ZoneScope};
 use domain::{FastMap, FastSet, Millis, ServiceName, Slots, UpstreamId, ZoneName};
-use host::{Host, asker, cold, known_fleet};
+use host::{Host, cold, known_fleet, requester};
 use published::{Member, RunStart};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -261,7 +261,7 @@
             return self.send_alone(host);
         };
         let scheduler = self.hosts[to].member.host.clone();
-        let lends = self.hosts[host].sender.lend(now_ms, &self.cell, &scheduler);
+        let lends_rate_share = self.hosts[host].sender.lend(now_ms, &self.cell, &scheduler);
         self.open.insert((host, ticket), to);
         let submission = Submission {
             cell: self.cell.clone(),
@@ -269,7 +269,7 @@
             objective_ms: Millis(1_500),
             left_ms: Millis(2_000),
             backing_off: self.hosts[host].upstreams.upstreams_in_backoff(now_ms, &service()),
-            lends,
+            lends_rate_share,
             ..submission(ticket)
         };
         let message = PlacementMessage::Submit(submission);
@@ -312,9 +312,9 @@
         let now_ms = Millis(self.now_ms);
         match event {
             Event::Scheduler { to, from, message } if self.is_up(to) => {
-                let asker = asker(to, from);
+                let requester = requester(to, from);
                 let Host { schedulers, upstreams, rng, .. } = &mut self.hosts[to];
-                let effects = schedulers.take(now_ms, message, asker, upstreams, rng);
+                let effects = schedulers.handle_message(now_ms, message, requester, upstreams, rng);
                 self.carry_out(to, effects);
             }
             Event::Host { to, message } if self.is_up(to) => self.hear(to, message),
@@ -340,7 +340,7 @@
                 }
                 let Some(to) = self.open.remove(&(host, ticket)) else { return };
                 let silent = self.hosts[to].member.host.clone();
-                self.hosts[host].directory.note_silent(now_ms, &silent);
+                self.hosts[host].directory.record_timeout(now_ms, &silent);
                 self.withdraw(host, to, Ticket(ticket));
                 self.send_alone(host);
             }
@@ -387,20 +387,20 @@
     }
 
     fn withdraw(&mut self, host: usize, to: usize, ticket: Ticket) {
-        let message = PlacementMessage::Withdrawn { ticket, how: Withdrawal::NotSent };
+        let message = PlacementMessage::Withdrawn { ticket, withdrawal: Withdrawal::NotSent };
         self.carry(host, to, || Event::Scheduler { to, from: host, message: message.clone() });
     }
 
     fn hear(&mut self, host: usize, message: PlacementMessage) {
         match message {
-            PlacementMessage::Placed { ticket, place } => {
+            PlacementMessage::Placed { ticket, placement } => {
                 let Some(to) = self.open.remove(&(host, ticket.0)) else { return };
                 let now_ms = Millis(self.now_ms);
                 let upstreams = &self.hosts[host].upstreams;
-                let may_send = upstreams.accepts_requests(&place.upstream)
-                    && upstreams.remaining_backoff(now_ms, &place.upstream).is_none();
+                let may_send = upstreams.accepts_requests(&placement.upstream)
+                    && upstreams.remaining_backoff(now_ms, &placement.upstream).is_none();
                 match may_send {
-                    true => self.reach(&place.upstream, host, Some((to, ticket))),
+                    true => self.reach(&placement.upstream, host, Some((to, ticket))),
                     false => self.withdraw(host, to, ticket),
                 }
             }
@@ -411,7 +411,7 @@
                 self.queued.insert((host, ticket.0));
                 if let Some(&to) = self.open.get(&(host, ticket.0)) {
                     let scheduler = self.hosts[to].member.host.clone();
-                    self.hosts[host].directory.note_heard(&scheduler);
+                    self.hosts[host].directory.record_response(&scheduler);
                 }
             }
             PlacementMessage::Submit(_)
@@ -427,15 +427,15 @@
         let now_ms = Millis(self.now_ms);
         let fleet = known_fleet(&self.site, now_ms);
         let is_due = self.now_ms.is_multiple_of(OFFER_EACH_MS);
-        if is_due || self.hosts[at].schedulers.has_unordered() {
+        if is_due || self.hosts[at].schedulers.has_unknown_primary() {
             self.note_order(at);
         }
         let Host { schedulers, upstreams, rng, .. } = &mut self.hosts[at];
         schedulers.set_fleet(fleet);
-        if schedulers.next_turn_ms(now_ms).is_none() {
+        if schedulers.next_schedule_ms(now_ms).is_none() {
             return;
         }
-        let effects = schedulers.turn(now_ms, upstreams, rng);
+        let effects = schedulers.schedule(now_ms, upstreams, rng);
         self.carry_out(at, effects);
     }
 
@@ -445,23 +445,23 @@
             _ => self.members(),
         };
         let own = self.hosts[at].member.host.clone();
-        let is_first = |cell: &Cell| {
-            Directory::first(cell, members.iter()).is_some_and(|first| first.host == own)
+        let is_primary = |cell: &Cell| {
+            Directory::primary(cell, members.iter()).is_some_and(|first| first.host == own)
         };
-        self.hosts[at].schedulers.set_first(is_first);
+        self.hosts[at].schedulers.set_primary(is_primary);
     }
 
     fn carry_out(&mut self, at: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Tell { to, message } => {
+                Effect::Send { to, message } => {
                     let to = match to {
-                        Asker::Own => at,
-                        Asker::Peer(address) => usize::from(address.port()),
+                        Requester::OwnHost => at,
+                        Requester::Peer(address) => usize::from(address.port()),
                     };
                     self.carry(at, to, || Event::Host { to, message: message.clone() });
                 }
-                Effect::Ask(upstream) => {
+                Effect::Probe(upstream) => {
                     let run = self.hosts[at].run;
                     self.push(2 * WAY_MS, Event::Asked { by: at, run, upstream });
                 }
--- a/crates/gateway/src/event_log/event.rs
+++ b/crates/gateway/src/event_log/event.rs
@@ -8,7 +8,7 @@
 use domain::{
     HostId, Incarnation, Millis, RequestFingerprint, ServiceName, UpstreamId, Version, ZoneName,
 };
-use published::{Belief, Revision};
+use published::{Revision, StateChange};
 use serde::Serialize;
 
 /// How much a line matters.
@@ -50,7 +50,7 @@
     /// Something else is believed.
     Belief {
         #[serde(flatten)]
-        belief: &'a Belief,
+        belief: &'a StateChange,
         from: &'a str,
     },
     /// More changed at once than is told one by one.
@@ -214,7 +214,7 @@
             LogEvent::Routed { .. } | LogEvent::Chosen { .. } | LogEvent::Sent { .. } => {
                 Weight::Routine
             }
-            LogEvent::Declined { verdict: Verdict::AskAgain(_), .. } => Weight::Routine,
+            LogEvent::Declined { verdict: Verdict::ProbeAgain(_), .. } => Weight::Routine,
             LogEvent::Delivered { status, after_ms, objective_ms, .. }
                 if *status < 400 && after_ms <= objective_ms =>
             {
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -17,11 +17,11 @@
 use dispatch::budget::{LOCAL_ZONE_PROBE_SHARE, ProbeBudget, RetryBudget, SCHEDULER_PROBE_SHARE};
 use dispatch::quarantine::Quarantine;
 use dispatch::{
-    FleetShape, LocalRateLimiter, MAX_IDLE_CONNECTIONS, SplitTable, UpstreamSet,
+    FleetSize, LocalRateLimiter, MAX_IDLE_CONNECTIONS, SplitTable, UpstreamSet,
     idle_connections_per_host,
 };
 use domain::{Millis, PerSecond, ServiceName, UpstreamId};
-use published::{Belief, Gossip, Member, Members, Picture, RouteTable};
+use published::{Gossip, Member, Members, PublishedState, RouteTable, StateChange};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, Ref, RefCell};
@@ -166,8 +166,8 @@
     }
 
     /// What is believed to be published.
-    pub fn picture(&self) -> Ref<'_, Picture> {
-        Ref::map(self.gossip.borrow(), Gossip::picture)
+    pub fn picture(&self) -> Ref<'_, PublishedState> {
+        Ref::map(self.gossip.borrow(), Gossip::published_state)
     }
 
     /// Hosts heard of.
@@ -201,26 +201,27 @@
     }
 
     /// Hosts that share health checks.
-    pub fn fleet_shape(&self) -> FleetShape {
+    pub fn fleet_size(&self) -> FleetSize {
         let members = self.members();
-        FleetShape { hosts: members.count(), hosts_in_zone: members.count_in_zone() }
+        FleetSize { hosts: members.count(), hosts_in_zone: members.count_in_zone() }
     }
 
     /// Puts a changed picture to use, and tells operators.
-    pub fn picture_changed(&self, beliefs: &[Belief], from: &str) {
+    pub fn picture_changed(&self, beliefs: &[StateChange], from: &str) {
         for belief in beliefs.iter().take(MOST_BELIEFS_TOLD) {
             self.log.write(&LogEvent::Belief { belief, from });
-            if let Belief::ZoneEvacuated { zone, .. } = belief {
+            if let StateChange::ZoneEvacuated { zone, .. } = belief {
                 let upstreams = self.picture().upstreams_in(zone);
                 self.log.write(&LogEvent::EvacuatedZone { zone, upstreams });
             }
         }
         if let Some(rest) = beliefs.get(MOST_BELIEFS_TOLD..).filter(|rest| !rest.is_empty()) {
-            let count_of = |is_it: fn(&Belief) -> bool| rest.iter().filter(|b| is_it(b)).count();
+            let count_of =
+                |is_it: fn(&StateChange) -> bool| rest.iter().filter(|b| is_it(b)).count();
             self.log.write(&LogEvent::MoreBeliefs {
                 count: rest.len(),
-                joined: count_of(|belief| matches!(belief, Belief::UpstreamJoined { .. })),
-                gone: count_of(|belief| matches!(belief, Belief::UpstreamGone { .. })),
+                joined: count_of(|belief| matches!(belief, StateChange::UpstreamJoined { .. })),
+                gone: count_of(|belief| matches!(belief, StateChange::UpstreamGone { .. })),
                 from,
             });
         }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -15,7 +15,7 @@
 use crate::placing;
 use crate::quarantine;
 use codec::{CodecError, Datagram};
-use dispatch::scheduler::Asker;
+use dispatch::scheduler::Requester;
 use domain::Millis;
 use fetch::FETCH_LIMIT;
 use published::{Effect, Fetch, Gossip, Message};
@@ -91,7 +91,7 @@
                 self.act(|gossip| gossip.join(&seeds));
                 next_join = (next_join * 2).min(LAST_JOINS);
             } else {
-                self.act(|gossip| gossip.greet(&seeds));
+                self.act(|gossip| gossip.send_hello(&seeds));
             }
             let jitter = self.host.rng.borrow_mut().random_range(GREETING_JITTER);
             clock::sleep(pause.mul_f64(jitter)).await;
@@ -99,7 +99,7 @@
     }
 
     fn is_being_told(&self) -> bool {
-        self.host.gossip.borrow().is_being_told(self.host.now_ms())
+        self.host.gossip.borrow().is_bootstrap_pending(self.host.now_ms())
     }
 
     fn is_settling(&self) -> bool {
@@ -139,20 +139,20 @@
         match codec::decode(datagram) {
             Ok(Datagram::Gossip(message)) => {
                 let now_ms = self.host.now_ms();
-                self.act(|gossip| gossip.take(now_ms, message, from));
+                self.act(|gossip| gossip.handle_message(now_ms, message, from));
             }
             Ok(Datagram::Quarantine(message)) => {
                 if quarantine::take(&self.host, message, from) {
-                    self.act(|gossip| gossip.answer(from));
+                    self.act(|gossip| gossip.acknowledge_relay(from));
                 }
             }
             Ok(Datagram::Backpressure(message)) => {
                 if backpressure::take(&self.host, message, from) {
-                    self.act(|gossip| gossip.answer(from));
+                    self.act(|gossip| gossip.acknowledge_relay(from));
                 }
             }
             Ok(Datagram::Placement(message)) => {
-                placing::take(&self.host, message, Asker::Peer(from));
+                placing::take(&self.host, message, Requester::Peer(from));
             }
             Err(e) => self.host.log.write(&LogEvent::PeerUnreadable {
                 from: from.to_string(),
@@ -166,23 +166,27 @@
         match effect {
             Effect::Send { message, to } => self.send(&message, &to),
             Effect::Fetch(fetch) => self.fetch(fetch),
-            Effect::Believed { beliefs, from } => {
-                self.host.picture_changed(&beliefs, from.as_str());
+            Effect::StateUpdated { state_changes, from } => {
+                self.host.picture_changed(&state_changes, from.as_str());
             }
-            Effect::Fetched { from, revision, is_whole } => {
+            Effect::FetchEnded { from, revision, is_full } => {
                 let peer = from.as_str();
-                self.host.log.write(&LogEvent::Fetched { peer, revision, is_whole });
+                self.host.log.write(&LogEvent::Fetched { peer, revision, is_whole: is_full });
             }
-            Effect::PeersHeard(peers) => {
+            Effect::PeersDiscovered(peers) => {
                 peers.iter().for_each(|peer| self.host.placing.forget_silence(peer));
                 let (count, first) = (peers.len(), peers.first());
                 quarantine::note_peers(&self.host);
                 backpressure::note_peers(&self.host);
                 self.host.log.write(&LogEvent::PeersHeard { count, first, hosts });
             }
-            Effect::Announce { after_ms } => self.act_later(after_ms, Gossip::announce),
-            Effect::AnswerWaiting { after_ms } => self.act_later(after_ms, Gossip::answer_more),
-            Effect::PeerGone(peer) => {
+            Effect::AnnounceJoined { delay_ms } => {
+                self.act_later(delay_ms, Gossip::announce_joined)
+            }
+            Effect::AnswerPendingJoins { delay_ms } => {
+                self.act_later(delay_ms, Gossip::answer_pending_joins)
+            }
+            Effect::PeerRemoved(peer) => {
                 self.host.log.write(&LogEvent::PeerGone { peer: &peer, hosts });
             }
         }
@@ -216,10 +220,10 @@
     fn fetch(self: &Rc<Peers>, fetch: Fetch) {
         let peers = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            clock::sleep(duration(fetch.after_ms)).await;
+            clock::sleep(duration(fetch.delay_ms)).await;
             let answer = fetch::fetch(&fetch).await;
             let now_ms = peers.host.now_ms();
-            peers.act(|gossip| gossip.take_told(now_ms, fetch, answer));
+            peers.act(|gossip| gossip.finish_fetch(now_ms, fetch, answer));
         });
     }
 
@@ -235,9 +239,12 @@
 fn encode(message: &Message) -> Result<Vec<u8>, CodecError> {
     let whole = codec::encode(&Datagram::Gossip(message.clone()))?;
     match message {
-        Message::News { news, passes_on } if whole.len() > MAX_DATAGRAM_BYTES => {
-            let news = Message::News { news: news.without_changes(), passes_on: *passes_on };
-            codec::encode(&Datagram::Gossip(news))
+        Message::StateUpdate { update, should_relay } if whole.len() > MAX_DATAGRAM_BYTES => {
+            let update = Message::StateUpdate {
+                update: update.without_changes(),
+                should_relay: *should_relay,
+            };
+            codec::encode(&Datagram::Gossip(update))
         }
         Message::JoinReply(reply) if whole.len() > MAX_DATAGRAM_BYTES => {
             let reply = Message::JoinReply(Box::new(reply.without_items()));
--- a/crates/gateway/tests/datagram_bytes.rs
+++ b/crates/gateway/tests/datagram_bytes.rs
@@ -5,7 +5,7 @@
 use dispatch::backpressure::{Backpressure, BackpressureMessage, BackpressureUpdate};
 use dispatch::quarantine::{Crash, Quarantine, QuarantineMessage, SuspectUpdate};
 use dispatch::scheduler::{
-    Cell, Outcome, Place, PlacementMessage, RefusalCause, Submission, Ticket, Withdrawal,
+    Cell, Outcome, Placement, PlacementMessage, RefusalCause, Submission, Ticket, Withdrawal,
 };
 use dispatch::{AttemptFailure, LoadReport};
 use domain::{
@@ -15,9 +15,9 @@
 use gateway::peers::codec::{Datagram, decode, encode};
 use published::{
     Bootstrap, BootstrapSnapshot, CallerLimits, Capacity, CatchUp, Change, Destination, Entry,
-    EvacuationEnd, FetchReply, Greeting, Held, Item, JoinReply, Member, Message, News, Question,
-    Removal, RemovalCause, Repeat, Revision, Route, Routing, RoutingPatch, RunStart,
-    ServiceSettings, Snapshot, Upstream, UpstreamMode,
+    EvacuationEnd, FetchReply, FetchRequest, HelloKind, Idempotency, Item, JoinReply,
+    KnownRevisions, Member, Message, Removal, RemovalCause, Revision, Route, Routing, RoutingPatch,
+    RunStart, ServiceSettings, Snapshot, StateUpdate, Upstream, UpstreamMode,
 };
 use rstest::rstest;
 use serde::Serialize;
@@ -85,7 +85,7 @@
         name: "search".to_owned(),
         host: "shop.example".to_owned(),
         prefix: "/search/".to_owned(),
-        repeat: Repeat::Idempotent,
+        idempotency: Idempotency::Idempotent,
         objective_ms: Millis(400),
         timeout_ms: Millis(2_500),
         attempts: 3,
@@ -102,7 +102,7 @@
         name: "orders".to_owned(),
         host: "pay.example".to_owned(),
         prefix: "/orders/".to_owned(),
-        repeat: Repeat::AtMostOnce,
+        idempotency: Idempotency::AtMostOnce,
         objective_ms: Millis(800),
         timeout_ms: Millis(5_000),
         attempts: 2,
@@ -178,17 +178,17 @@
     EvacuationEnd { zone: "janakpur".parse().unwrap(), revision: Revision(4_009) }
 }
 
-fn bootstrap_snapshot(is_whole: bool) -> BootstrapSnapshot {
+fn bootstrap_snapshot(is_complete: bool) -> BootstrapSnapshot {
     BootstrapSnapshot {
         age_ms: Millis(35),
         revision: Revision(4_010),
         items: vec![upstream_entry(4_002, ready_upstream()), evacuation_entry()],
-        is_whole,
+        is_complete,
     }
 }
 
 fn join_reply(bootstrap: Bootstrap) -> Message {
-    Message::JoinReply(Box::new(JoinReply { from: member_1(), hosts: 124, bootstrap }))
+    Message::JoinReply(Box::new(JoinReply { from: member_1(), host_count: 124, bootstrap }))
 }
 
 fn partial() -> Bootstrap {
@@ -199,12 +199,12 @@
     }
 }
 
-fn hello(greeting: Greeting) -> Message {
-    Message::Hello { from: member_1(), greeting, digest: u64::MAX - 1 }
+fn hello(kind: HelloKind) -> Message {
+    Message::Hello { from: member_1(), kind, members_digest: u64::MAX - 1 }
 }
 
 fn news(changes: Option<Vec<Change>>) -> Message {
-    let news = News {
+    let update = StateUpdate {
         reader: member_1(),
         revision: Revision(4_020),
         age_ms: Millis(25),
@@ -212,7 +212,7 @@
         after: Revision(4_000),
         changes,
     };
-    Message::News { news, passes_on: true }
+    Message::StateUpdate { update, should_relay: true }
 }
 
 #[rstest]
@@ -226,7 +226,7 @@
      2d01"
 )]
 #[case::not_yet(
-    join_reply(Bootstrap::NotYet { is_reading: true }),
+    join_reply(Bootstrap::NotReady { is_reading: true }),
     "0600010766726f6e742d31e907086b617269616b6f6f000a000001d9361482017c0001"
 )]
 #[case::redirect(
@@ -234,7 +234,7 @@
     "0600010766726f6e742d31e907086b617269616b6f6f000a000001d9361482017c01000a000007df36"
 )]
 #[case::whole(
-    join_reply(Bootstrap::Whole(bootstrap_snapshot(true))),
+    join_reply(Bootstrap::Complete(bootstrap_snapshot(true))),
     "0600010766726f6e742d31e907086b617269616b6f6f000a000001d9361482017c0223aa1f02a21f0103692d31\
      057061727473000a000101c13e08636861626168696c0600dc0b0181d095ffbc31a41f02076974616861726901"
 )]
@@ -245,28 +245,28 @@
      02000a000008e0360120010db8000000000000000000000009e1369601"
 )]
 #[case::asking(
-    hello(Greeting::Asking),
+    hello(HelloKind::Request),
     "0600020766726f6e742d31e907086b617269616b6f6f000a000001d93614820100feffffffffffffffff01"
 )]
 #[case::answering(
-    hello(Greeting::Answering),
+    hello(HelloKind::Reply),
     "0600020766726f6e742d31e907086b617269616b6f6f000a000001d93614820101feffffffffffffffff01"
 )]
 #[case::present(
-    hello(Greeting::Present),
+    hello(HelloKind::Alive),
     "0600020766726f6e742d31e907086b617269616b6f6f000a000001d93614820102feffffffffffffffff01"
 )]
 #[case::known(
-    Message::Known { members: vec![member_1(), member_2()], passes_on: true },
+    Message::Members { members: vec![member_1(), member_2()], should_relay: true },
     "060003020766726f6e742d31e907086b617269616b6f6f000a000001d9361482010766726f6e742d32c29a0c09\
      62616e657368776f720120010db8000000000000000000000002da36e8072d01"
 )]
 #[case::unread(
-    Message::Unread { reader: member_1(), passes_on: true },
+    Message::ReadFailed { reader: member_1(), should_relay: true },
     "0600050766726f6e742d31e907086b617269616b6f6f000a000001d93614820101"
 )]
 #[case::bye(
-    Message::Bye { host: "front-3".parse().unwrap(), incarnation: Incarnation(1_003) },
+    Message::Leave { host: "front-3".parse().unwrap(), incarnation: Incarnation(1_003) },
     "0600060766726f6e742d33eb07"
 )]
 #[case::offered_news(
@@ -324,19 +324,19 @@
     check(&Datagram::Gossip(message), hex);
 }
 
-fn question(routing: Option<Revision>) -> Question {
-    Question {
-        held: Held { revision: Revision(4_011), routing },
-        wanted: Revision(4_013),
-        members: 9_876_543_211,
+fn fetch_request(routing: Option<Revision>) -> FetchRequest {
+    FetchRequest {
+        known: KnownRevisions { revision: Revision(4_011), routing },
+        min_revision: Revision(4_013),
+        members_digest: 9_876_543_211,
     }
 }
 
 #[rstest]
-#[case::with_routing(question(Some(Revision(4_012))), "06ab1f01ac1fad1febadc0e524")]
-#[case::without_routing(question(None), "06ab1f00ad1febadc0e524")]
-fn a_question_keeps_its_bytes(#[case] question: Question, #[case] hex: &str) {
-    check(&question, hex);
+#[case::with_routing(fetch_request(Some(Revision(4_012))), "06ab1f01ac1fad1febadc0e524")]
+#[case::without_routing(fetch_request(None), "06ab1f00ad1febadc0e524")]
+fn a_fetch_request_keeps_its_bytes(#[case] request: FetchRequest, #[case] hex: &str) {
+    check(&request, hex);
 }
 
 fn changes() -> CatchUp {
@@ -348,7 +348,7 @@
 }
 
 fn whole() -> CatchUp {
-    CatchUp::Whole(Snapshot {
+    CatchUp::Snapshot(Snapshot {
         revision: Revision(4_016),
         items: vec![routing_entry(), evacuation_entry()],
         overwritten: vec![overwritten()],
@@ -381,7 +381,7 @@
 
 const TICKET: Ticket = Ticket(9_000_000);
 
-fn submission(zone: Option<&str>, lends: bool) -> PlacementMessage {
+fn submission(zone: Option<&str>, lends_rate_share: bool) -> PlacementMessage {
     let ids = |ids: &[&str]| ids.iter().map(|id| id.parse::<UpstreamId>().unwrap()).collect();
     PlacementMessage::Submit(Submission {
         ticket: TICKET,
@@ -396,14 +396,14 @@
         left_ms: Millis(1_200),
         tried: ids(&["i-1", "i-2"]),
         backing_off: ids(&["i-3"]),
-        lends,
+        lends_rate_share,
     })
 }
 
 fn placed(report_age_ms: Option<Millis>) -> PlacementMessage {
     let upstream = "i-1".parse().unwrap();
-    let place = Place { upstream, work: 1.25, cost: 2.5, report_age_ms, ahead: 300 };
-    PlacementMessage::Placed { ticket: TICKET, place }
+    let placement = Placement { upstream, work: 1.25, cost: 2.5, report_age_ms, ahead: 300 };
+    PlacementMessage::Placed { ticket: TICKET, placement }
 }
 
 fn refused(cause: RefusalCause) -> PlacementMessage {
@@ -441,8 +441,8 @@
     PlacementMessage::Ended { ticket: TICKET, outcome }
 }
 
-fn withdrawn(how: Withdrawal) -> PlacementMessage {
-    PlacementMessage::Withdrawn { ticket: TICKET, how }
+fn withdrawn(withdrawal: Withdrawal) -> PlacementMessage {
+    PlacementMessage::Withdrawn { ticket: TICKET, withdrawal }
 }
 
 #[rstest]
--- a/crates/published/src/gossip/joining/answering.rs
+++ b/crates/published/src/gossip/joining/answering.rs
@@ -113,7 +113,7 @@
     }
 
     /// What another host announces need not be announced here too.
-    pub(in crate::gossip) fn note_announced(&mut self, members: &[Member]) {
+    pub(in crate::gossip) fn remove_announced(&mut self, members: &[Member]) {
         self.unannounced.retain(|member| !members.contains(member));
     }
 
@@ -139,32 +139,32 @@
 impl Gossip {
     /// Whether the source is being read here for a first picture: who joins may wait for it, and
     /// this host waits for nobody.
-    pub fn set_reading(&mut self, is_reading: bool) {
+    pub fn set_initial_read(&mut self, is_reading: bool) {
         self.joins.is_reading = is_reading;
     }
 
     /// Tells the fleet of those that joined through this host.
-    pub fn announce(&mut self, now_ms: Millis) -> Vec<Effect> {
+    pub fn announce_joined(&mut self, now_ms: Millis) -> Vec<Effect> {
         let heard = std::mem::take(&mut self.joins.heard);
-        let mut effects = vec![Effect::PeersHeard(heard)];
+        let mut effects = vec![Effect::PeersDiscovered(heard)];
         let members = std::mem::take(&mut self.joins.unannounced);
         if (1..=MOST_ANNOUNCED).contains(&members.len()) {
-            let known = |passes_on| Message::Known { members: members.clone(), passes_on };
-            self.tell_fleet(now_ms, known, &mut effects);
+            let known = |should_relay| Message::Members { members: members.clone(), should_relay };
+            self.broadcast(now_ms, known, &mut effects);
         }
         effects
     }
 
-    pub(in crate::gossip) fn take_join(
+    pub(in crate::gossip) fn handle_join(
         &mut self,
         now_ms: Millis,
         member: Member,
         is_redirected: bool,
         effects: &mut Vec<Effect>,
     ) {
-        if self.members.note(now_ms, member.clone()) {
+        if self.members.record(now_ms, member.clone()) {
             if self.joins.heard.is_empty() {
-                effects.push(Effect::Announce { after_ms: ANNOUNCE_AFTER_MS });
+                effects.push(Effect::AnnounceJoined { delay_ms: ANNOUNCE_AFTER_MS });
             }
             self.joins.heard.push(member.host.clone());
             // Those that are sent here came in hundreds; see [`MOST_ANNOUNCED`].
@@ -173,20 +173,24 @@
             }
         }
         let (is_reading, to) = (self.joins.is_reading, member.address);
-        let can_answer = self.picture.can_bootstrap();
+        let can_answer = self.state.can_bootstrap();
         if can_answer && self.joins.waiting.is_empty() {
             self.answer_join(now_ms, &member, is_redirected, effects);
             return;
         }
         self.joins.waiting.insert(member.host.clone(), Waiting { member, is_redirected });
         if !can_answer {
-            self.send_join_reply(Bootstrap::NotYet { is_reading }, to, effects);
+            self.send_join_reply(Bootstrap::NotReady { is_reading }, to, effects);
         }
     }
 
     /// Answers some of those that wait, as far as something is held, the most capable first: the
     /// others take their copies.
-    pub(in crate::gossip) fn answer_waiting(&mut self, now_ms: Millis, effects: &mut Vec<Effect>) {
+    pub(in crate::gossip) fn answer_next_joins(
+        &mut self,
+        now_ms: Millis,
+        effects: &mut Vec<Effect>,
+    ) {
         if self.joins.waiting.is_empty() || self.joins.is_answering {
             return;
         }
@@ -206,15 +210,15 @@
         }
         if !self.joins.waiting.is_empty() {
             self.joins.is_answering = true;
-            effects.push(Effect::AnswerWaiting { after_ms: ANSWER_PAUSE_MS });
+            effects.push(Effect::AnswerPendingJoins { delay_ms: ANSWER_PAUSE_MS });
         }
     }
 
     /// Answers the next of those that wait.
-    pub fn answer_more(&mut self, now_ms: Millis) -> Vec<Effect> {
+    pub fn answer_pending_joins(&mut self, now_ms: Millis) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.joins.is_answering = false;
-        self.answer_waiting(now_ms, &mut effects);
+        self.answer_next_joins(now_ms, &mut effects);
         effects
     }
 
@@ -238,10 +242,10 @@
             return REDIRECT_BYTES;
         }
         let (host, zone) = (&member.host, &member.availability_zone);
-        let snapshot = self.picture.bootstrap_for(now_ms, host, zone);
+        let snapshot = self.state.bootstrap_for(now_ms, host, zone);
         let Some(snapshot) = snapshot else { return ByteCount(0) };
-        let bootstrap = match snapshot.is_whole {
-            true => Bootstrap::Whole(snapshot),
+        let bootstrap = match snapshot.is_complete {
+            true => Bootstrap::Complete(snapshot),
             false => {
                 let (rest_from, after_ms) = self.rest_for(number, zone);
                 Bootstrap::Partial { snapshot, rest_from, after_ms }
@@ -261,16 +265,16 @@
             None => vec![self.members.own().address],
             Some(parent) => vec![before[parent.0], before[self.rng.random_range(0..=parent.0)]],
         };
-        let upstreams = self.picture.upstreams().count() as u64;
+        let upstreams = self.state.upstreams().count() as u64;
         let pass_on_ms = PASS_ON_MS + PASS_ON_THOUSAND_MS * upstreams / 1_000;
         // What is held here may be a beginning itself.
-        let is_late = self.picture.confirmed_ms().is_none();
+        let is_late = self.state.confirmed_ms().is_none();
         (from, Millis(pass_on_ms * (position.depth() + u64::from(is_late))))
     }
 
     fn send_join_reply(&self, bootstrap: Bootstrap, to: SocketAddr, effects: &mut Vec<Effect>) {
-        let (from, hosts) = (self.members.own().clone(), self.members.count());
-        let reply = JoinReply { from, hosts, bootstrap };
+        let (from, host_count) = (self.members.own().clone(), self.members.count());
+        let reply = JoinReply { from, host_count, bootstrap };
         self.send(Message::JoinReply(Box::new(reply)), vec![to], effects);
     }
 }
