--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -1,26 +1,24 @@
-//! Requests that crash the upstreams that run them are held back.
+//! Quarantines requests that crash the upstreams that run them.
 //!
-//! Such a request (a "query of death") comes again under other ids at any host, and takes with
-//! it whatever else its upstreams run. [`Quarantine`] is what a host knows of them; hosts tell
-//! each other, so that crashes seen by several add up.
+//! Such a request (a "query of death") comes back under other ids at any host, and its upstreams'
+//! other requests are lost with them. [`Quarantine`] is a host's state; hosts broadcast it, so
+//! that crashes that several of them saw add up.
 //!
-//! - **Evidence** is an upstream whose process ended while it ran the request. Each request that
-//!   an upstream had is a suspect, so one crash says little. What tells the guilty from the
-//!   bystanders is the sequence: the same request crashes the next upstream, and the next, and is
-//!   never run to its end in between. One that was is cleared, whoever saw it.
-//! - **A suspect of [`MIN_CRASHES_FOR_TRIAL`]** is sent to one upstream at a time by the whole fleet; the
-//!   others wait for what comes of it.
-//! - **From [`MIN_CRASHES_FOR_HOLD`] on** it is refused at once, until a time that grows with each
-//!   further crash has passed, and then tried by one host again.
+//! - **Evidence** is an upstream whose process ended while it ran the request. Each request in
+//!   flight there is a suspect, so one crash proves little. What tells the cause from bystanders
+//!   is the sequence: the same request crashes one upstream after the other, and never completes
+//!   in between. A request that completes is cleared, whichever host saw it.
+//! - **From [`MIN_CRASHES_FOR_TRIAL`] on** the whole fleet sends the request to one upstream at a
+//!   time; its other copies wait for the result.
+//! - **From [`MIN_CRASHES_FOR_HOLD`] on** it is refused until a hold, which grows with each
+//!   further crash, has passed; then one host tries it again.
 //!
-//! Nothing is kept or told while no upstream crashes. In virtual time one such request, three times a
-//! second for 95 s at 13 hosts, ended 5 upstreams in place of 228, and at 472 hosts 7 in place of
-//! 1,256; no other request was held back.
+//! Nothing is stored or sent while no upstream crashes.
 
+mod exchange;
 mod message;
 mod report;
 mod suspect;
-mod telling;
 mod verdict;
 
 pub use message::{QuarantineMessage, SuspectUpdate};
@@ -32,110 +30,114 @@
 use suspect::Suspect;
 use verdict::held_until_ms;
 
-/// A request that is not held back is forgotten so long after its last crash.
-const FORGET_MS: Millis = Millis::from_secs(3_600);
+/// How long a request that isn't held is remembered after its last crash.
+const RETENTION_MS: Millis = Millis::from_secs(3_600);
 
-/// One that was held back is forgotten so long after it may be tried again.
-const FORGET_HELD_MS: Millis = Millis::from_secs(24 * 3_600);
+/// How long a request is remembered after its hold.
+const HELD_RETENTION_MS: Millis = Millis::from_secs(24 * 3_600);
 
-/// How long it is remembered that a request was cleared: late messages of its crashes are void.
-const REMEMBER_CLEARED_MS: Millis = Millis::from_secs(60);
+/// How long a cleared request is remembered, to ignore late messages about its crashes.
+const CLEARED_RETENTION_MS: Millis = Millis::from_secs(60);
 
-/// What happened before the start of the process has its place in time as well: peers tell of
-/// crashes that are older than a host that has just started. Longer than anything is remembered.
-const BEFORE_START_MS: Millis = Millis::from_secs(7 * 24 * 3_600);
+/// Offset added to the process's clock, so that crashes reported by peers that precede the start
+/// of this process have a time, too. Longer than anything is remembered.
+const CLOCK_OFFSET_MS: Millis = Millis::from_secs(7 * 24 * 3_600);
 
-/// Most requests that are remembered, some 300 KB. The fewest crashes leave first, then the oldest.
+/// Maximum number of remembered requests, some 300 KB. Those with the fewest crashes are dropped
+/// first, then the oldest.
 const MAX_SUSPECTS: usize = 1_024;
 
-/// What a host knows of requests that crash upstreams.
+/// A host's state of requests that crash upstreams.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     suspects: FastMap<RequestFingerprint, Suspect>,
-    /// Those that peers are to be told of.
-    untold: Vec<RequestFingerprint>,
-    /// When a peer was last offered what is held.
-    offered_ms: Millis,
+    /// Suspects to broadcast.
+    pending: Vec<RequestFingerprint>,
+    /// When a digest was last sent to a peer.
+    digest_sent_ms: Millis,
 }
 
 impl Quarantine {
-    /// Whether nothing is held against any request: then nobody needs its fingerprint.
+    /// Whether there is no suspect; then no request's fingerprint is needed.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Requests that are held back now.
+    /// Number of requests that are held now.
     pub fn count_held(&self, now_ms: Millis) -> usize {
-        let now_ms = counted(now_ms);
+        let now_ms = with_offset(now_ms);
         let is_held = |suspect: &&Suspect| held_until_ms(suspect).is_some_and(|at| now_ms < at);
         self.suspects.values().filter(is_held).count()
     }
 
-    /// Whether a request may be sent now. Asked when it arrives, and again just before it leaves.
+    /// Whether a request may be sent now; to be checked on arrival, and again just before it is
+    /// sent.
     pub fn admit(&self, now_ms: Millis, fingerprint: RequestFingerprint) -> Admission {
         let suspect = self.suspects.get(&fingerprint);
-        suspect.map_or(Admission::Free, |suspect| verdict::admit(counted(now_ms), suspect))
+        suspect.map_or(Admission::Free, |suspect| verdict::admit(with_offset(now_ms), suspect))
     }
 
-    /// A request leaves as a trial, which is over at `until_ms` at the latest.
+    /// Records that a request is sent as a trial, which ends at `until_ms` at the latest.
     pub fn begin_trial(&mut self, fingerprint: RequestFingerprint, until_ms: Millis) {
         if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
-            suspect.begin_trial(counted(until_ms));
-            self.will_tell(fingerprint);
+            suspect.begin_trial(with_offset(until_ms));
+            self.mark_pending(fingerprint);
         }
     }
 
-    /// A trial of this host ended. The others take it to be over when its time is.
+    /// Ends a trial of this host. The other hosts regard it as running until its time is over.
     pub fn end_trial(&mut self, fingerprint: RequestFingerprint) {
         if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
             suspect.end_trial();
         }
     }
 
-    /// An upstream crashed while it ran the request.
+    /// Records that an upstream crashed while it ran the request; returns the change, if its
+    /// status changed.
     pub fn record_crash(
         &mut self,
         fingerprint: RequestFingerprint,
         crash: Crash,
     ) -> Option<SuspectChange> {
         let suspect = self.suspects.entry(fingerprint).or_default();
-        if !suspect.add_crash(crash.later_by(BEFORE_START_MS)) {
+        if !suspect.add_crash(crash.later_by(CLOCK_OFFSET_MS)) {
             return None;
         }
         let (changed, crashes) =
             (SuspectChange::by_crash(fingerprint, suspect), suspect.crashes().len());
-        self.note_doubt(fingerprint);
+        self.update_doubtful(fingerprint);
         if crashes >= MIN_CRASHES_FOR_TRIAL {
-            self.will_tell(fingerprint);
+            self.mark_pending(fingerprint);
         }
-        self.make_room();
+        self.evict();
         changed
     }
 
-    /// A request that an upstream crashed under got its final answer.
+    /// Records that the caller received the final response to a request under which an upstream
+    /// crashed.
     ///
-    /// A first crash is told now only: most that were beside it are served elsewhere and
-    /// cleared by then, so a crash of hundreds of upstreams fills no link.
+    /// Only now is a first crash broadcast: most bystanders have been served by another upstream
+    /// and cleared by then, so the crash of hundreds of upstreams doesn't flood the network.
     pub fn record_final_answer(&mut self, fingerprint: RequestFingerprint) {
-        let is_new = |suspect: &Suspect| !suspect.crashes().is_empty() && !suspect.is_told();
+        let is_new = |suspect: &Suspect| !suspect.crashes().is_empty() && !suspect.is_broadcast();
         if self.suspects.get(&fingerprint).is_some_and(is_new) {
-            self.will_tell(fingerprint);
+            self.mark_pending(fingerprint);
         }
     }
 
-    /// An upstream ran the request to its end, or an operator lifts the verdict on it.
+    /// Clears a request that an upstream completed, or that an operator released.
     pub fn clear(
         &mut self,
         now_ms: Millis,
         fingerprint: RequestFingerprint,
     ) -> Option<SuspectChange> {
         let suspect = self.suspects.get_mut(&fingerprint)?;
-        if !suspect.clear(counted(now_ms)) {
+        if !suspect.clear(with_offset(now_ms)) {
             return None;
         }
-        match suspect.is_told() {
+        match suspect.is_broadcast() {
             true => {
-                self.untold.push(fingerprint);
+                self.pending.push(fingerprint);
                 Some(SuspectChange::cleared(fingerprint))
             }
             false => {
@@ -145,19 +147,19 @@
         }
     }
 
-    /// Forgets what is over.
+    /// Drops suspects whose time has passed.
     pub fn expire(&mut self, now_ms: Millis) {
-        let now_ms = counted(now_ms);
+        let now_ms = with_offset(now_ms);
         self.suspects.retain(|_, suspect| match held_until_ms(suspect) {
-            Some(until_ms) => now_ms.since(until_ms) < FORGET_HELD_MS,
+            Some(until_ms) => now_ms.since(until_ms) < HELD_RETENTION_MS,
             None if suspect.crashes().is_empty() => {
-                now_ms.since(suspect.last_ms()) < REMEMBER_CLEARED_MS
+                now_ms.since(suspect.last_ms()) < CLEARED_RETENTION_MS
             }
-            None => now_ms.since(suspect.last_ms()) < FORGET_MS,
+            None => now_ms.since(suspect.last_ms()) < RETENTION_MS,
         });
     }
 
-    fn note_doubt(&mut self, fingerprint: RequestFingerprint) {
+    fn update_doubtful(&mut self, fingerprint: RequestFingerprint) {
         let Some(suspect) = self.suspects.get(&fingerprint) else { return };
         if suspect.crashes().len() != MIN_CRASHES_FOR_HOLD {
             return;
@@ -169,7 +171,7 @@
         }
     }
 
-    fn make_room(&mut self) {
+    fn evict(&mut self) {
         while self.suspects.len() > MAX_SUSPECTS {
             let least = self.suspects.iter().min_by_key(|(_, suspect)| importance(suspect));
             let Some(&least) = least.map(|(fingerprint, _)| fingerprint) else { return };
@@ -182,7 +184,7 @@
     (suspect.crashes().len(), suspect.last_ms())
 }
 
-/// A point in time of the process as it is kept here.
-fn counted(at_ms: Millis) -> Millis {
-    at_ms + BEFORE_START_MS
+/// Converts a time of the process's clock to the one used here.
+fn with_offset(at_ms: Millis) -> Millis {
+    at_ms + CLOCK_OFFSET_MS
 }
--- /dev/null
+++ b/crates/dispatch/src/quarantine/exchange.rs
@@ -0,0 +1,120 @@
+//! Exchange of suspects between hosts: what is sent when, and how it is merged.
+
+use super::message::SuspectUpdate;
+use super::report::SuspectChange;
+use super::suspect::Suspect;
+use super::{Quarantine, importance, with_offset};
+use domain::{Millis, RequestFingerprint};
+use std::cmp::Reverse;
+
+/// Maximum number of suspects in one message: four kilobytes.
+const MAX_SUSPECTS_PER_MESSAGE: usize = 24;
+
+/// Time after the latest change until all hosts know it, except those that were cut off.
+const SPREAD_MS: Millis = Millis::from_secs(10);
+
+/// Time between two digests until then. On average each host receives one as often.
+const DIGEST_MS: Millis = Millis(400);
+
+/// Time between two digests after that: forty bytes each.
+const SETTLED_DIGEST_MS: Millis = Millis::from_secs(10);
+
+impl Quarantine {
+    /// Takes the suspects to broadcast; none if there are none.
+    pub fn take_pending(&mut self, now_ms: Millis) -> Option<Vec<SuspectUpdate>> {
+        let now_ms = with_offset(now_ms);
+        let mut pending = std::mem::take(&mut self.pending);
+        pending.sort_unstable();
+        pending.dedup();
+        let to_update = |fingerprint: RequestFingerprint| {
+            let suspect = self.suspects.get(&fingerprint)?;
+            Some(SuspectUpdate::of(now_ms, fingerprint, suspect))
+        };
+        // The digest reveals to peers what exceeds one message.
+        let updates: Vec<_> =
+            pending.into_iter().filter_map(to_update).take(MAX_SUSPECTS_PER_MESSAGE).collect();
+        Some(updates).filter(|updates| !updates.is_empty())
+    }
+
+    /// All suspects for a peer with a different digest, those with the most crashes first.
+    pub fn export(&self, now_ms: Millis) -> Vec<SuspectUpdate> {
+        let now_ms = with_offset(now_ms);
+        let mut all: Vec<_> = self.suspects.iter().filter(|(_, s)| s.is_broadcast()).collect();
+        all.sort_by_key(|(_, suspect)| Reverse(importance(suspect)));
+        let updates = all.into_iter().take(MAX_SUSPECTS_PER_MESSAGE);
+        updates
+            .map(|(&fingerprint, suspect)| SuspectUpdate::of(now_ms, fingerprint, suspect))
+            .collect()
+    }
+
+    /// Digest of the suspects: equal for hosts that have the same.
+    pub fn digest(&self) -> u64 {
+        let is_broadcast =
+            |suspect: &Suspect| suspect.is_broadcast() && !suspect.crashes().is_empty();
+        let suspects = self.suspects.iter().filter(|(_, suspect)| is_broadcast(suspect));
+        let weights = suspects.map(|(fingerprint, suspect)| {
+            let crashes = suspect.crashes().len() as u64;
+            fingerprint.low_bits().wrapping_mul(2 * crashes + 1)
+        });
+        weights.fold(0, u64::wrapping_add)
+    }
+
+    /// The digest to send to a peer, if one is due: often, while a change may still be missing
+    /// somewhere.
+    pub fn digest_if_due(&mut self, now_ms: Millis) -> Option<u64> {
+        let now_ms = with_offset(now_ms);
+        let last_ms = self.suspects.values().map(Suspect::last_ms).max()?;
+        let pause_ms = match now_ms.since(last_ms) < SPREAD_MS {
+            true => DIGEST_MS,
+            false => SETTLED_DIGEST_MS,
+        };
+        if now_ms.since(self.digest_sent_ms) < pause_ms {
+            return None;
+        }
+        self.digest_sent_ms = now_ms;
+        Some(self.digest())
+    }
+
+    /// Merges a peer's suspects; returns what changed.
+    pub fn merge(&mut self, now_ms: Millis, updates: Vec<SuspectUpdate>) -> Vec<SuspectChange> {
+        let now_ms = with_offset(now_ms);
+        let changed =
+            updates.into_iter().filter_map(|update| self.merge_one(now_ms, update)).collect();
+        self.evict();
+        changed
+    }
+
+    fn merge_one(&mut self, now_ms: Millis, update: SuspectUpdate) -> Option<SuspectChange> {
+        let fingerprint = update.fingerprint;
+        let suspect = self.suspects.entry(fingerprint).or_default();
+        // What only this host knew adds to what the peer saw, so it is broadcast now.
+        if !suspect.is_broadcast() && !suspect.crashes().is_empty() {
+            self.pending.push(fingerprint);
+        }
+        suspect.set_broadcast();
+        let trial_until_ms = update.trial_until_ms(now_ms);
+        let is_cleared = update.cleared_ms(now_ms).is_some_and(|at_ms| suspect.clear(at_ms));
+        let before = suspect.crashes().len();
+        for crash in update.into_crashes(now_ms) {
+            suspect.add_crash(crash);
+        }
+        if let Some(until_ms) = trial_until_ms {
+            suspect.begin_trial(until_ms);
+        }
+        match suspect.crashes().len() > before {
+            true => {
+                let changed = SuspectChange::by_crash(fingerprint, suspect);
+                self.update_doubtful(fingerprint);
+                changed
+            }
+            false => is_cleared.then(|| SuspectChange::cleared(fingerprint)),
+        }
+    }
+
+    pub(super) fn mark_pending(&mut self, fingerprint: RequestFingerprint) {
+        if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
+            suspect.set_broadcast();
+            self.pending.push(fingerprint);
+        }
+    }
+}
--- a/crates/dispatch/src/quarantine/message.rs
+++ b/crates/dispatch/src/quarantine/message.rs
@@ -1,6 +1,6 @@
-//! What hosts tell each other of requests that crash upstreams.
+//! Messages in which hosts broadcast requests that crash upstreams.
 //!
-//! Points in time travel as ages, since each host has a clock of its own.
+//! They carry ages instead of points in time, since each host has a clock of its own.
 
 use super::Crash;
 use super::suspect::Suspect;
@@ -8,32 +8,32 @@
 use published::RunStart;
 use serde::{Deserialize, Serialize};
 
-/// A message that may be lost, doubled, late or out of order.
+/// A message that may be lost, duplicated, late or out of order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuarantineMessage {
-    /// What is held against requests, and what was cleared.
+    /// Suspects, and requests that were cleared.
     Suspects {
-        /// Some of them.
+        /// Some suspects.
         suspects: Vec<SuspectUpdate>,
-        /// Whether the host that hears it is to pass it on in its availability zone.
+        /// Whether the receiver is to relay it within its availability zone.
         should_relay: bool,
     },
-    /// Digest of what is held; whoever holds something else asks for it.
+    /// Digest of the sender's suspects; a receiver with a different one requests them.
     Digest {
         /// The digest.
         digest: u64,
     },
-    /// Whoever hears it is to tell what it holds, if that is something else.
+    /// Requests all suspects, if the receiver's digest differs.
     Request {
-        /// Digest of what the asking host holds.
+        /// Digest of the requesting host's suspects.
         digest: u64,
     },
 }
 
-/// What is held against one request.
+/// The crashes of one request, and whether it was cleared or is on trial.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectUpdate {
-    /// Which.
+    /// The request.
     pub fingerprint: RequestFingerprint,
     crashes: Vec<CrashUpdate>,
     cleared_age_ms: Option<Millis>,
@@ -55,7 +55,7 @@
         fingerprint: RequestFingerprint,
         suspect: &Suspect,
     ) -> SuspectUpdate {
-        let tell = |crash: &Crash| CrashUpdate {
+        let to_update = |crash: &Crash| CrashUpdate {
             upstream: crash.upstream.clone(),
             run: crash.run,
             seen_by: crash.seen_by.clone(),
@@ -64,13 +64,13 @@
         };
         SuspectUpdate {
             fingerprint,
-            crashes: suspect.crashes().iter().map(tell).collect(),
+            crashes: suspect.crashes().iter().map(to_update).collect(),
             cleared_age_ms: suspect.cleared_ms().map(|at_ms| now_ms.since(at_ms)),
             trial_left_ms: suspect.trial_until_ms(now_ms).map(|until_ms| until_ms.since(now_ms)),
         }
     }
 
-    /// When the request was cleared, by the clock of the host that hears it.
+    /// When the request was cleared, by the receiver's clock.
     pub(super) fn cleared_ms(&self, now_ms: Millis) -> Option<Millis> {
         self.cleared_age_ms.map(|age_ms| now_ms - age_ms)
     }
@@ -80,12 +80,12 @@
     }
 
     pub(super) fn into_crashes(self, now_ms: Millis) -> impl Iterator<Item = Crash> {
-        self.crashes.into_iter().map(move |told| Crash {
-            upstream: told.upstream,
-            run: told.run,
-            seen_by: told.seen_by,
-            sent_ms: now_ms - told.sent_age_ms,
-            crashed_ms: now_ms - told.crashed_age_ms,
+        self.crashes.into_iter().map(move |update| Crash {
+            upstream: update.upstream,
+            run: update.run,
+            seen_by: update.seen_by,
+            sent_ms: now_ms - update.sent_age_ms,
+            crashed_ms: now_ms - update.crashed_age_ms,
         })
     }
 }
--- a/crates/dispatch/src/quarantine/report.rs
+++ b/crates/dispatch/src/quarantine/report.rs
@@ -1,63 +1,63 @@
-//! What operators are told of requests that crash upstreams.
+//! Log events and dumps about requests that crash upstreams, for operators.
 
 use super::suspect::{Crash, Suspect};
 use super::verdict::{MIN_CRASHES_FOR_HOLD, MIN_CRASHES_FOR_TRIAL, held_until_ms};
-use super::{BEFORE_START_MS, Quarantine, counted, importance};
+use super::{CLOCK_OFFSET_MS, Quarantine, importance, with_offset};
 use domain::{HostId, Millis, RequestFingerprint, UpstreamId};
 use serde::Serialize;
 use std::cmp::Reverse;
 
-/// Something changed that operators are told.
+/// A change of a request's status, for the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SuspectChange {
-    /// Of which request.
+    /// The request.
     pub fingerprint: RequestFingerprint,
-    /// What.
+    /// Its new status.
     pub status: SuspectStatus,
-    /// The crashes that are held against it now.
+    /// The crashes that count against it now.
     pub crashes: Vec<Crash>,
 }
 
-/// What changed.
+/// Status of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SuspectStatus {
-    /// It is tried by one host at a time.
+    /// One host at a time tries it.
     Suspected,
-    /// It is held back.
+    /// It is held.
     Held,
-    /// Nothing is held against it any more.
+    /// No crash counts against it any more.
     Cleared,
 }
 
-/// What is held against a request, for operators.
+/// A suspect, for operators.
 #[derive(Debug, Clone, Serialize)]
 pub struct SuspectDump {
-    /// Which.
+    /// The request.
     pub fingerprint: RequestFingerprint,
-    /// Upstreams that crashed under it, one after the other.
+    /// Crashes that count against it, in order.
     pub crashes: Vec<CrashDump>,
-    /// How long it is still held back; none if it isn't.
+    /// How much longer it is held; none if it isn't.
     pub held_for_ms: Option<Millis>,
-    /// Whether a host tries it now.
+    /// Whether a host is trying it now.
     pub is_on_trial: bool,
 }
 
 /// One crash, for operators.
 #[derive(Debug, Clone, Serialize)]
 pub struct CrashDump {
-    /// The upstream.
+    /// The upstream that crashed.
     pub upstream: UpstreamId,
     /// The host that saw it.
     pub seen_by: HostId,
-    /// How long ago.
+    /// Time since the crash.
     pub age_ms: Millis,
 }
 
 impl Quarantine {
-    /// Everything, for operators: what is held back first.
+    /// All suspects, for operators: those with the most crashes first.
     pub fn dump(&self, now_ms: Millis) -> Vec<SuspectDump> {
-        let now_ms = counted(now_ms);
+        let now_ms = with_offset(now_ms);
         let mut all: Vec<_> =
             self.suspects.iter().filter(|(_, suspect)| !suspect.crashes().is_empty()).collect();
         all.sort_by_key(|(_, suspect)| Reverse(importance(suspect)));
@@ -74,7 +74,7 @@
 }
 
 impl SuspectChange {
-    /// Another crash counts against a request; none if nothing follows from it yet.
+    /// The change caused by another crash; none if the request isn't suspected yet.
     pub(super) fn by_crash(
         fingerprint: RequestFingerprint,
         suspect: &Suspect,
@@ -85,11 +85,11 @@
             _ => return None,
         };
         let crashes = suspect.crashes().iter().cloned();
-        let crashes = crashes.map(|crash| crash.earlier_by(BEFORE_START_MS)).collect();
+        let crashes = crashes.map(|crash| crash.earlier_by(CLOCK_OFFSET_MS)).collect();
         Some(SuspectChange { fingerprint, status, crashes })
     }
 
-    /// Nothing counts against a request any more.
+    /// The change to cleared.
     pub(super) fn cleared(fingerprint: RequestFingerprint) -> SuspectChange {
         SuspectChange { fingerprint, status: SuspectStatus::Cleared, crashes: Vec::new() }
     }
--- a/crates/dispatch/src/quarantine/verdict.rs
+++ b/crates/dispatch/src/quarantine/verdict.rs
@@ -1,46 +1,47 @@
-//! When a request is held back, and for how long.
+//! Decides whether a request is held, and for how long.
 
 use super::suspect::Suspect;
 use domain::Millis;
 
-/// Crashes in a row from which on a request is sent to one upstream at a time. One crash is
-/// mostly that of a bystander, whose time is running.
+/// Consecutive crashes from which on a request is sent to one upstream at a time. One crash is
+/// mostly that of a bystander, whose caller is waiting.
 pub const MIN_CRASHES_FOR_TRIAL: usize = 2;
 
-/// Crashes in a row from which on a request is held back. Where upstreams end by themselves now and
-/// then, a bystander is in two of their crashes; in three only by the end of a whole service.
+/// Consecutive crashes from which on a request is held. Where upstreams crash now and then for
+/// other reasons, a bystander is in two of their crashes; in three only if a whole service goes
+/// down.
 pub const MIN_CRASHES_FOR_HOLD: usize = 3;
 
-/// How long a request is held back: after its third crash, and after each further one. It crashes
-/// one more upstream in a day; an operator lifts it sooner.
-const HOLDS_MS: [Millis; 2] = [Millis::from_secs(4 * 3_600), Millis::from_secs(24 * 3_600)];
+/// Hold after the third crash, and after each further one. A request crashes one more upstream a
+/// day, unless an operator releases it sooner.
+const HOLD_MS: [Millis; 2] = [Millis::from_secs(4 * 3_600), Millis::from_secs(24 * 3_600)];
 
-/// How long it is first held back where others were in as many crashes: upstreams end one after
-/// the other by themselves, and what many callers ask for may be on three of them.
+/// First hold where several other requests have crashes, too: upstreams crash one after the other
+/// for another reason, and what many callers ask for may run on three of them.
 const DOUBTFUL_HOLD_MS: Millis = Millis::from_secs(30);
 
-/// So many others with [`MIN_CRASHES_FOR_TRIAL`] in a row make a verdict doubtful: beside a request that
-/// crashes upstreams hardly any is in two of its crashes.
+/// Number of other requests with [`MIN_CRASHES_FOR_TRIAL`] consecutive crashes that makes a hold
+/// doubtful: beside a request that crashes upstreams, hardly any other is in two of its crashes.
 const DOUBTFUL_OTHERS: usize = 2;
 
-/// Crashes of the others count if they are no older than that.
-const DOUBTFUL_WITHIN_MS: Millis = Millis::from_secs(10);
+/// Maximum age of the other requests' crashes.
+const DOUBTFUL_AGE_MS: Millis = Millis::from_secs(10);
 
-/// Whether a request may be sent.
+/// Whether and how a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// Like any other.
+    /// Like any other request.
     Free,
-    /// As the only one of its kind in the fleet.
+    /// As a trial, the only copy in the whole fleet.
     Trial,
-    /// Not while another host tries it, for so long at most.
+    /// Not while another host tries it.
     Wait {
-        /// The time.
+        /// At most until the trial ends.
         for_ms: Millis,
     },
-    /// Not before this time has passed.
+    /// Not while it is held.
     Held {
-        /// The time.
+        /// The rest of the hold.
         for_ms: Millis,
     },
 }
@@ -57,23 +58,23 @@
     }
 }
 
-/// Time until which a request is held back.
+/// The end of the request's hold.
 pub(super) fn held_until_ms(suspect: &Suspect) -> Option<Millis> {
     let crashes = suspect.crashes();
     let former_holds = crashes.len().checked_sub(MIN_CRASHES_FOR_HOLD)?;
     let hold_ms = match former_holds {
         0 if suspect.is_doubtful() => DOUBTFUL_HOLD_MS,
-        _ => HOLDS_MS[former_holds.min(HOLDS_MS.len() - 1)],
+        _ => HOLD_MS[former_holds.min(HOLD_MS.len() - 1)],
     };
     crashes.last().map(|crash| crash.crashed_ms + hold_ms)
 }
 
-/// Whether a verdict that was just reached may be that of a bystander.
+/// Whether a request that was just held may be a bystander.
 pub(super) fn is_doubtful<'s>(
     suspect: &Suspect,
     others: impl Iterator<Item = &'s Suspect>,
 ) -> bool {
-    let since_ms = suspect.last_ms() - DOUBTFUL_WITHIN_MS;
+    let since_ms = suspect.last_ms() - DOUBTFUL_AGE_MS;
     let is_alike = |other: &&Suspect| {
         other.crashes().len() >= MIN_CRASHES_FOR_TRIAL && other.last_ms() >= since_ms
     };
