--- a/crates/dispatch/tests/backoff_fleet.rs
+++ b/crates/dispatch/tests/backoff_fleet.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use rstest::rstest;
-use support::rate_site::{Harm, Play, Reason, Site};
+use support::rate_simulation::{Fault, LimitReason, Scenario, Simulation};
 
 const FROM_MS: u64 = 1_500;
 const BACKOFF_MS: u64 = 3_000;
@@ -14,43 +14,43 @@
 const WAY_MS: u64 = 4;
 
 #[rstest]
-#[case::calm(Harm::Nothing)]
-#[case::lossy(Harm::Lossy)]
-#[case::split(Harm::Split)]
-#[case::nobody_schedules(Harm::NoScheduler)]
-#[case::schedulers_are_killed(Harm::SchedulersKilled { each_ms: 300 })]
+#[case::calm(Fault::Nothing)]
+#[case::lossy(Fault::Lossy)]
+#[case::split(Fault::Split)]
+#[case::nobody_schedules(Fault::NoScheduler)]
+#[case::schedulers_are_killed(Fault::SchedulersKilled { each_ms: 300 })]
 fn no_host_sends_where_it_was_asked_to_back_off(
-    #[case] harm: Harm,
+    #[case] fault: Fault,
     #[values(13, 111, 472)] hosts: usize,
 ) {
     let mut refused = 0;
     for seed in 0..3 {
-        let reason = Reason::Refusing { from_ms: FROM_MS, backoff_ms: BACKOFF_MS };
-        let (rate, length_ms, demand) = (2.0, FROM_MS + 3 * BACKOFF_MS, 0.8);
-        let site = Site {
+        let limit_reason = LimitReason::Refusing { from_ms: FROM_MS, backoff_ms: BACKOFF_MS };
+        let (rate, duration_ms, demand) = (2.0, FROM_MS + 3 * BACKOFF_MS, 0.8);
+        let scenario = Scenario {
             hosts,
             upstreams: 24,
             rate,
-            reason,
-            length_ms,
-            work_ms: 440,
+            limit_reason,
+            duration_ms,
+            service_time_ms: 440,
             demand,
-            harm,
+            fault,
             seed,
         };
-        let reached = Play::run_whole(&site);
-        for of in reached.values().filter(|of| !of.told.is_empty()) {
+        let received = Simulation::run_with_sources(&scenario);
+        for of in received.values().filter(|of| !of.stated_ms.is_empty()) {
             refused += of.arrivals.iter().filter(|(at_ms, _)| *at_ms >= FROM_MS).count();
-            for (host, told_ms) in &of.told {
-                let rest = told_ms + WAY_MS..told_ms + BACKOFF_MS;
+            for (host, known_ms) in &of.stated_ms {
+                let rest = known_ms + WAY_MS..known_ms + BACKOFF_MS;
                 let is_in_rest =
                     |(at_ms, from): &&(u64, usize)| from == host && rest.contains(at_ms);
                 let got = of.arrivals.iter().filter(is_in_rest).count();
                 // A host that was killed meanwhile knows nothing of it.
-                let is_excused = matches!(harm, Harm::SchedulersKilled { .. });
+                let is_excused = matches!(fault, Fault::SchedulersKilled { .. });
                 assert!(got == 0 || is_excused, "{got} from host {host}, seed {seed}");
             }
         }
     }
-    println!("{hosts} hosts, {harm:?}: {refused} requests refused in three plays");
+    println!("{hosts} hosts, {fault:?}: {refused} requests refused in three plays");
 }
--- a/crates/dispatch/tests/cold.rs
+++ b/crates/dispatch/tests/cold.rs
@@ -9,7 +9,7 @@
 use published::{ServiceSettings, Upstream};
 use rstest::rstest;
 use std::sync::Arc;
-use support::rate_site::{Arrivals, Harm, Play, Reason, Site};
+use support::rate_simulation::{Arrivals, Fault, LimitReason, Scenario, Simulation};
 use support::{entry, id};
 
 /// What the platform says a cold upstream bears in a second: so many times its rate, and some more.
@@ -27,36 +27,36 @@
     arrivals.values().filter_map(most).max().unwrap_or_default()
 }
 
-fn site(hosts: usize, harm: Harm, seed: u64) -> Site {
-    let reason = Reason::Cold;
-    Site {
+fn scenario(hosts: usize, fault: Fault, seed: u64) -> Scenario {
+    let limit_reason = LimitReason::Cold;
+    Scenario {
         hosts,
         upstreams: 24,
         rate: RATE,
-        reason,
-        length_ms: 3_000,
-        work_ms: 440,
+        limit_reason,
+        duration_ms: 3_000,
+        service_time_ms: 440,
         demand: 1.5,
-        harm,
+        fault,
         seed,
     }
 }
 
 #[rstest]
-#[case::calm(Harm::Nothing)]
-#[case::lossy(Harm::Lossy)]
-#[case::a_third_is_cut_off(Harm::CutOff { every: 3 })]
-#[case::all_are_cut_off(Harm::CutOff { every: 1 })]
-#[case::split(Harm::Split)]
-#[case::schedulers_are_killed(Harm::SchedulersKilled { each_ms: 300 })]
+#[case::calm(Fault::Nothing)]
+#[case::lossy(Fault::Lossy)]
+#[case::a_third_is_cut_off(Fault::CutOff { every: 3 })]
+#[case::all_are_cut_off(Fault::CutOff { every: 1 })]
+#[case::split(Fault::Split)]
+#[case::schedulers_are_killed(Fault::SchedulersKilled { each_ms: 300 })]
 fn no_cold_upstream_gets_more_than_it_bears(
-    #[case] harm: Harm,
+    #[case] fault: Fault,
     #[values(13, 111, 472)] hosts: usize,
 ) {
     for seed in 0..4 {
-        let most = most_in_a_second(&Play::run(&site(hosts, harm, seed)));
+        let most = most_in_a_second(&Simulation::run(&scenario(hosts, fault, seed)));
         let borne = RATE * BORNE_OVER + BORNE_SLACK;
-        println!("{hosts} hosts, {harm:?}, seed {seed}: {most} of {borne} in a second");
+        println!("{hosts} hosts, {fault:?}, seed {seed}: {most} of {borne} in a second");
         assert!(most as f64 <= borne, "{most} in a second, seed {seed}");
     }
 }
@@ -65,8 +65,8 @@
 #[rstest]
 fn a_fleet_that_has_just_started_stays_within_it(#[values(13, 111, 472)] hosts: usize) {
     for seed in 0..4 {
-        let site = Site { length_ms: 1_900, ..site(hosts, Harm::JustStarted, seed) };
-        let most = most_in_a_second(&Play::run(&site));
+        let scenario = Scenario { duration_ms: 1_900, ..scenario(hosts, Fault::JustStarted, seed) };
+        let most = most_in_a_second(&Simulation::run(&scenario));
         println!("{hosts} hosts that have just started, seed {seed}: {most} in a second");
         assert!(most as f64 <= RATE * BORNE_OVER + BORNE_SLACK, "{most} in a second, seed {seed}");
     }
@@ -76,12 +76,12 @@
 #[rstest]
 fn in_calm_times_the_rate_is_kept_and_used(#[values(13, 111, 472)] hosts: usize) {
     for seed in 0..4 {
-        let site = site(hosts, Harm::Nothing, seed);
-        let arrivals = Play::run(&site);
+        let scenario = scenario(hosts, Fault::Nothing, seed);
+        let arrivals = Simulation::run(&scenario);
         let most = most_in_a_second(&arrivals);
         assert!(most as f64 <= RATE * BORNE_OVER, "{most} in a second, seed {seed}");
         let got: usize = arrivals.values().map(Vec::len).sum();
-        let allowed = RATE * site.upstreams as f64 * site.length_ms as f64 / 1_000.0;
+        let allowed = RATE * scenario.upstreams as f64 * scenario.duration_ms as f64 / 1_000.0;
         println!("{hosts} hosts, seed {seed}: {most} in a second, {got} of {allowed} in all");
         assert!(got as f64 >= 0.9 * allowed, "{got} of {allowed}, seed {seed}");
     }
--- a/crates/dispatch/tests/leaving.rs
+++ b/crates/dispatch/tests/leaving.rs
@@ -9,7 +9,7 @@
 use published::{Eligibility, Entry, Evacuations, RunStart, Upstream, UpstreamMode};
 use rstest::rstest;
 use std::sync::Arc;
-use support::rate_site::{Harm, Play, Reason, Site};
+use support::rate_simulation::{Fault, LimitReason, Scenario, Simulation};
 use support::{entry, entry_in, id, of_run, set};
 
 const NOW: Millis = Millis(10_000);
@@ -96,39 +96,39 @@
 const KNOWN_WITHIN_MS: u64 = 500;
 
 #[rstest]
-#[case::calm(Harm::Nothing)]
-#[case::lossy(Harm::Lossy)]
-#[case::nobody_schedules(Harm::NoScheduler)]
-#[case::schedulers_are_killed(Harm::SchedulersKilled { each_ms: 300 })]
+#[case::calm(Fault::Nothing)]
+#[case::lossy(Fault::Lossy)]
+#[case::nobody_schedules(Fault::NoScheduler)]
+#[case::schedulers_are_killed(Fault::SchedulersKilled { each_ms: 300 })]
 fn a_fleet_sends_nothing_new_to_what_leaves(
-    #[case] harm: Harm,
+    #[case] fault: Fault,
     #[values(13, 111, 472)] hosts: usize,
 ) {
     for seed in 0..3 {
-        let site = Site {
+        let scenario = Scenario {
             hosts,
             upstreams: 24,
             rate: 2.0,
-            reason: Reason::Leaving { from_ms: FROM_MS },
-            length_ms: 8_000,
-            work_ms: 440,
+            limit_reason: LimitReason::Leaving { from_ms: FROM_MS },
+            duration_ms: 8_000,
+            service_time_ms: 440,
             demand: 1.5,
-            harm,
+            fault,
             seed,
         };
-        let reached = Play::run_whole(&site);
-        let late = reached.values().filter_map(|of| {
-            let first_ms = of.told.values().min()?;
+        let received = Simulation::run_with_sources(&scenario);
+        let late = received.values().filter_map(|of| {
+            let first_ms = of.stated_ms.values().min()?;
             // Of hosts whose links lose a fifth of all messages only those that heard it themselves
             // are sure to know.
-            let is_late = |(at_ms, host): &&(u64, usize)| match harm {
-                Harm::Lossy => of.told.get(host).is_some_and(|told_ms| at_ms > told_ms),
+            let is_late = |(at_ms, host): &&(u64, usize)| match fault {
+                Fault::Lossy => of.stated_ms.get(host).is_some_and(|known_ms| at_ms > known_ms),
                 _ => *at_ms > first_ms + KNOWN_WITHIN_MS,
             };
             Some(of.arrivals.iter().filter(is_late).count())
         });
         let late: Vec<usize> = late.collect();
         assert!(!late.is_empty(), "none left");
-        assert_eq!(late.iter().sum::<usize>(), 0, "{hosts} hosts, {harm:?}, seed {seed}");
+        assert_eq!(late.iter().sum::<usize>(), 0, "{hosts} hosts, {fault:?}, seed {seed}");
     }
 }
--- a/crates/dispatch/tests/rate_limit_fleet.rs
+++ b/crates/dispatch/tests/rate_limit_fleet.rs
@@ -5,7 +5,7 @@
 
 use domain::{FastMap, UpstreamId};
 use rstest::rstest;
-use support::rate_site::{Harm, Play, Reached, Reason, Site};
+use support::rate_simulation::{Fault, LimitReason, Received, Scenario, Simulation};
 
 /// What the platform allows within any such time, from some seconds after a limit was first named: so
 /// many times the limit, and some more.
@@ -21,18 +21,18 @@
 const FROM_MS: u64 = 1_500;
 const SETTLED_MS: u64 = FROM_MS + 4_000;
 
-fn site(hosts: usize, harm: Harm, seed: u64) -> Site {
-    let reason = Reason::Limited { from_ms: FROM_MS, until_ms: u64::MAX };
-    let length_ms = FROM_MS + 10_000;
-    Site {
+fn scenario(hosts: usize, fault: Fault, seed: u64) -> Scenario {
+    let limit_reason = LimitReason::Limited { from_ms: FROM_MS, until_ms: u64::MAX };
+    let duration_ms = FROM_MS + 10_000;
+    Scenario {
         hosts,
         upstreams: 24,
         rate: RATE,
-        reason,
-        length_ms,
-        work_ms: 440,
+        limit_reason,
+        duration_ms,
+        service_time_ms: 440,
         demand: 1.5,
-        harm,
+        fault,
         seed,
     }
 }
@@ -40,45 +40,47 @@
 /// Most requests that one upstream got in a window that begins and ends within a span, from hosts that
 /// had passed on its word in time.
 fn most_in_window(
-    reached: &FastMap<UpstreamId, Reached>,
+    received: &FastMap<UpstreamId, Received>,
     from_ms: u64,
     ends_from_ms: u64,
 ) -> usize {
-    let within = |of: &Reached, end_ms: u64| {
+    let within = |of: &Received, end_ms: u64| {
         let start_ms = (end_ms + 1).saturating_sub(WINDOW_MS).max(from_ms);
-        let is_told = |host: &usize| {
-            of.told.get(host).is_some_and(|&told_ms| told_ms + TOLD_BEFORE_MS <= end_ms)
+        let is_known = |host: &usize| {
+            of.stated_ms.get(host).is_some_and(|&known_ms| known_ms + TOLD_BEFORE_MS <= end_ms)
         };
         let counts =
-            |(at_ms, host): &&(u64, usize)| (start_ms..=end_ms).contains(at_ms) && is_told(host);
+            |(at_ms, host): &&(u64, usize)| (start_ms..=end_ms).contains(at_ms) && is_known(host);
         of.arrivals.iter().filter(counts).count()
     };
-    let most = |of: &Reached| {
+    let most = |of: &Received| {
         let ends = of.arrivals.iter().filter(|(end_ms, _)| *end_ms >= ends_from_ms);
         ends.map(|&(end_ms, _)| within(of, end_ms)).max()
     };
-    reached.values().filter_map(most).max().unwrap_or_default()
+    received.values().filter_map(most).max().unwrap_or_default()
 }
 
-fn count_from(reached: &FastMap<UpstreamId, Reached>, from_ms: u64) -> usize {
-    let arrivals = reached.values().flat_map(|of| &of.arrivals);
+fn count_from(received: &FastMap<UpstreamId, Received>, from_ms: u64) -> usize {
+    let arrivals = received.values().flat_map(|of| &of.arrivals);
     arrivals.filter(|(at_ms, _)| *at_ms >= from_ms).count()
 }
 
 #[rstest]
-#[case::calm(Harm::Nothing)]
-#[case::lossy(Harm::Lossy)]
-#[case::a_third_is_cut_off(Harm::CutOff { every: 3 })]
-#[case::nobody_schedules(Harm::NoScheduler)]
-#[case::split(Harm::Split)]
-#[case::schedulers_are_killed(Harm::SchedulersKilled { each_ms: 300 })]
-fn no_upstream_gets_more_than_it_takes(#[case] harm: Harm, #[values(13, 111, 472)] hosts: usize) {
+#[case::calm(Fault::Nothing)]
+#[case::lossy(Fault::Lossy)]
+#[case::a_third_is_cut_off(Fault::CutOff { every: 3 })]
+#[case::nobody_schedules(Fault::NoScheduler)]
+#[case::split(Fault::Split)]
+#[case::schedulers_are_killed(Fault::SchedulersKilled { each_ms: 300 })]
+fn no_upstream_gets_more_than_it_takes(#[case] fault: Fault, #[values(13, 111, 472)] hosts: usize) {
     for seed in 0..3 {
-        let reached = Play::run_whole(&site(hosts, harm, seed));
-        let most = most_in_window(&reached, 0, FROM_MS + WATCHED_AFTER_MS);
-        let later = most_in_window(&reached, SETTLED_MS, SETTLED_MS + WINDOW_MS);
+        let received = Simulation::run_with_sources(&scenario(hosts, fault, seed));
+        let most = most_in_window(&received, 0, FROM_MS + WATCHED_AFTER_MS);
+        let later = most_in_window(&received, SETTLED_MS, SETTLED_MS + WINDOW_MS);
         let allowed = RATE * WINDOW_MS as f64 / 1_000.0 * ALLOWED_OVER + ALLOWED_SLACK;
-        println!("{hosts} hosts, {harm:?}, seed {seed}: {most}, later {later} of {allowed} in 4 s");
+        println!(
+            "{hosts} hosts, {fault:?}, seed {seed}: {most}, later {later} of {allowed} in 4 s"
+        );
         assert!(most as f64 <= allowed, "{most} in 4 s, seed {seed}");
     }
 }
@@ -88,13 +90,14 @@
 #[rstest]
 fn in_calm_times_the_limit_is_kept_and_used(#[values(13, 111, 472)] hosts: usize) {
     for seed in 0..3 {
-        let site = site(hosts, Harm::Nothing, seed);
-        let reached = Play::run_whole(&site);
-        let most = most_in_window(&reached, SETTLED_MS, SETTLED_MS + WINDOW_MS);
+        let scenario = scenario(hosts, Fault::Nothing, seed);
+        let received = Simulation::run_with_sources(&scenario);
+        let most = most_in_window(&received, SETTLED_MS, SETTLED_MS + WINDOW_MS);
         let limit = RATE * WINDOW_MS as f64 / 1_000.0;
         assert!(most as f64 <= limit + 2.0, "{most} of {limit} in 4 s, seed {seed}");
-        let got = count_from(&reached, SETTLED_MS);
-        let allowed = RATE * site.upstreams as f64 * (site.length_ms - SETTLED_MS) as f64 / 1_000.0;
+        let got = count_from(&received, SETTLED_MS);
+        let allowed =
+            RATE * scenario.upstreams as f64 * (scenario.duration_ms - SETTLED_MS) as f64 / 1_000.0;
         println!("{hosts} hosts, seed {seed}: {most} of {limit} in 4 s, {got} of {allowed} in all");
         assert!(got as f64 >= 0.9 * allowed, "{got} of {allowed}, seed {seed}");
     }
@@ -102,21 +105,25 @@
 
 /// An upstream limits what it takes since it gets far more: what it got in the second before counts, too.
 #[rstest]
-#[case::three_times(Harm::Nothing, 3.0)]
-#[case::five_times(Harm::Nothing, 5.0)]
-#[case::nobody_schedules(Harm::NoScheduler, 3.0)]
+#[case::three_times(Fault::Nothing, 3.0)]
+#[case::five_times(Fault::Nothing, 5.0)]
+#[case::nobody_schedules(Fault::NoScheduler, 3.0)]
 fn what_came_before_a_limit_is_paid_back(
-    #[case] harm: Harm,
+    #[case] fault: Fault,
     #[case] times_the_limit: f64,
     #[values(13, 111, 472)] hosts: usize,
 ) {
     for seed in 0..3 {
-        let site = Site { work_ms: 60, demand: times_the_limit, ..site(hosts, harm, seed) };
-        let reached = Play::run_whole(&site);
-        let most = most_in_window(&reached, 0, FROM_MS + WATCHED_AFTER_MS);
+        let scenario = Scenario {
+            service_time_ms: 60,
+            demand: times_the_limit,
+            ..scenario(hosts, fault, seed)
+        };
+        let received = Simulation::run_with_sources(&scenario);
+        let most = most_in_window(&received, 0, FROM_MS + WATCHED_AFTER_MS);
         let allowed = RATE * WINDOW_MS as f64 / 1_000.0 * ALLOWED_OVER + ALLOWED_SLACK;
         println!(
-            "{hosts} hosts, {harm:?}, {times_the_limit} times, seed {seed}: {most} of {allowed}"
+            "{hosts} hosts, {fault:?}, {times_the_limit} times, seed {seed}: {most} of {allowed}"
         );
         assert!(most as f64 <= allowed, "{most} in 4 s, seed {seed}");
     }
@@ -129,13 +136,14 @@
     #[values(13, 111, 472)] hosts: usize,
 ) {
     for seed in 0..3 {
-        let mut reached = Play::run_whole(&site(hosts, Harm::CutOff { every: 1 }, seed));
-        for of in reached.values_mut() {
-            let Reached { arrivals, told } = of;
-            let knew = |at_ms: u64, host: &usize| told.get(host).is_some_and(|&ms| ms < at_ms);
+        let mut received =
+            Simulation::run_with_sources(&scenario(hosts, Fault::CutOff { every: 1 }, seed));
+        for of in received.values_mut() {
+            let Received { arrivals, stated_ms } = of;
+            let knew = |at_ms: u64, host: &usize| stated_ms.get(host).is_some_and(|&ms| ms < at_ms);
             arrivals.retain(|(at_ms, host)| knew(*at_ms, host));
         }
-        let most = most_in_window(&reached, 0, 0);
+        let most = most_in_window(&received, 0, 0);
         let allowed = RATE * WINDOW_MS as f64 / 1_000.0 * ALLOWED_OVER + ALLOWED_SLACK;
         println!("{hosts} hosts that reach no other, seed {seed}: {most} of {allowed} in 4 s");
         assert!(most as f64 <= allowed, "{most} in 4 s, seed {seed}");
@@ -146,10 +154,13 @@
 #[rstest]
 fn a_limit_that_is_over_is_over_everywhere(#[values(13, 111)] hosts: usize) {
     let until_ms = FROM_MS + 4_000;
-    let reason = Reason::Limited { from_ms: FROM_MS, until_ms };
-    let reached = Play::run_whole(&Site { reason, ..site(hosts, Harm::Lossy, 1) });
+    let limit_reason = LimitReason::Limited { from_ms: FROM_MS, until_ms };
+    let received = Simulation::run_with_sources(&Scenario {
+        limit_reason,
+        ..scenario(hosts, Fault::Lossy, 1)
+    });
     let after_ms = until_ms + 1_000;
-    let got = count_from(&reached, after_ms) as f64;
+    let got = count_from(&received, after_ms) as f64;
     let allowed = RATE * 24.0 * (FROM_MS + 10_000 - after_ms) as f64 / 1_000.0;
     println!("{hosts} hosts: {got} where the limit would have been {allowed}");
     assert!(got > 1.2 * allowed, "{got} of {allowed}");
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! Upstreams for the tests.
+//! Upstreams and submissions for the tests.
 #![allow(clippy::unwrap_used, dead_code)]
 
-pub mod rate_site;
+pub mod rate_simulation;
 
 use dispatch::scheduler::{Cell, Submission, Ticket};
 use dispatch::{LoadReport, UpstreamSet, UpstreamState};
@@ -33,7 +33,7 @@
     Entry { revision: Revision(1), value: Arc::new(value) }
 }
 
-/// The entry of the run that started at a moment.
+/// An entry of the process run that started at `start_ms`.
 pub fn of_run(name: &str, start_ms: u64) -> Entry<Arc<Upstream>> {
     let run = RunStart(Some(Millis(start_ms)));
     let value = Upstream { run, ..(*entry(name, "kariakoo").value).clone() };
@@ -48,14 +48,14 @@
     LoadReport { running, waiting, slots: Slots(SLOTS), slowness_percent }
 }
 
-/// Seen from a host in `kariakoo`.
+/// An upstream set as seen from a host in `kariakoo`.
 pub fn set(entries: &[Entry<Arc<Upstream>>]) -> UpstreamSet {
     let mut set = UpstreamSet::new("front-1".parse().unwrap(), "kariakoo".parse().unwrap());
     set.sync(Millis::ZERO, entries.iter(), &Evacuations::default());
     set
 }
 
-/// A request of a host in `kariakoo` that wants a place anywhere.
+/// A submission of a host in `kariakoo` for any availability zone.
 pub fn submission(ticket: u64) -> Submission {
     Submission {
         ticket: Ticket(ticket),
--- a/crates/dispatch/tests/support/rate_site/host.rs
+++ b/crates/dispatch/tests/support/rate_simulation/host.rs
@@ -1,7 +1,7 @@
-//! A host of the fleet, and what it knows from its start.
+//! A simulated host, and what it knows from its start.
 
 use super::super::{entry, id};
-use super::{AFTER_MS, Harm, Reason, SLOTS, Site, ZONES, service, zone};
+use super::{COLD_MARGIN_MS, Fault, LimitReason, SLOTS, Scenario, ZONES, service, zone};
 use dispatch::scheduler::{Cell, Directory, Requester, SchedulerSet};
 use dispatch::{FleetSize, LocalRateLimiter, UpstreamSet, assumed_fleet};
 use domain::{Connections, HostId, Incarnation, Millis, PerSecond, Slots};
@@ -16,15 +16,19 @@
     pub(super) schedulers: SchedulerSet,
     pub(super) directory: Directory,
     pub(super) upstreams: UpstreamSet,
-    pub(super) sender: LocalRateLimiter,
+    pub(super) rate_limiter: LocalRateLimiter,
     pub(super) rng: Pcg64Mcg,
-    /// Kills so far: what a former run was told is for nobody.
+    /// Number of restarts; messages for a former run are dropped.
     pub(super) run: u64,
-    pub(super) up_from_ms: u64,
+    pub(super) up_at_ms: u64,
 }
 
 impl Host {
-    pub(super) fn new(number: usize, site: &Site, entries: &[Entry<Arc<Upstream>>]) -> Host {
+    pub(super) fn new(
+        number: usize,
+        scenario: &Scenario,
+        entries: &[Entry<Arc<Upstream>>],
+    ) -> Host {
         let name: HostId = format!("front-{number}").parse().unwrap();
         let mut upstreams = UpstreamSet::new(name.clone(), zone(number));
         upstreams.sync(Millis::ZERO, entries.iter(), &Evacuations::default());
@@ -32,11 +36,11 @@
             name: service(),
             health_path: "/healthz".to_owned(),
             max_connections: Connections(100),
-            cold_rate: Some(PerSecond(site.rate)),
+            cold_rate: Some(PerSecond(scenario.rate)),
         };
         upstreams.set_cold_rates(std::iter::once(&settings));
         let mut schedulers = SchedulerSet::new(name.clone());
-        schedulers.set_fleet(known_fleet(site, Millis::ZERO));
+        schedulers.set_fleet(known_fleet(scenario, Millis::ZERO));
         Host {
             member: Member {
                 host: name.clone(),
@@ -48,10 +52,10 @@
             schedulers,
             directory: Directory::default(),
             upstreams,
-            sender: LocalRateLimiter::new(name),
-            rng: Pcg64Mcg::seed_from_u64(site.seed.wrapping_mul(1_000) + number as u64),
+            rate_limiter: LocalRateLimiter::new(name),
+            rng: Pcg64Mcg::seed_from_u64(scenario.seed.wrapping_mul(1_000) + number as u64),
             run: 0,
-            up_from_ms: 0,
+            up_at_ms: 0,
         }
     }
 
@@ -61,11 +65,11 @@
     }
 }
 
-/// The fleet as its hosts know it: of those that have just started each knows itself only.
-pub(super) fn known_fleet(site: &Site, now_ms: Millis) -> FleetSize {
-    let (hosts, hosts_in_zone) = (site.hosts as u32, site.hosts.div_ceil(ZONES) as u32);
-    match site.harm {
-        Harm::JustStarted => assumed_fleet(FleetSize { hosts: 1, hosts_in_zone: 1 }, now_ms),
+/// The fleet as its hosts know it; hosts that have just started know only themselves.
+pub(super) fn known_fleet(scenario: &Scenario, now_ms: Millis) -> FleetSize {
+    let (hosts, hosts_in_zone) = (scenario.hosts as u32, scenario.hosts.div_ceil(ZONES) as u32);
+    match scenario.fault {
+        Fault::JustStarted => assumed_fleet(FleetSize { hosts: 1, hosts_in_zone: 1 }, now_ms),
         _ => FleetSize { hosts, hosts_in_zone },
     }
 }
@@ -77,17 +81,17 @@
     }
 }
 
-/// All upstreams stand in the first zone; those that are cold stay so all the while.
-pub(super) fn cold(number: usize, site: &Site) -> Entry<Arc<Upstream>> {
+/// An upstream. All are in the first zone; cold ones stay cold throughout.
+pub(super) fn upstream_entry(number: usize, scenario: &Scenario) -> Entry<Arc<Upstream>> {
     let entry = entry(&format!("i-{number}"), "zone-0");
     let value = Upstream {
         id: id(&format!("i-{number}")),
         slots: Slots(SLOTS),
-        warmup_left_ms: match site.reason {
-            Reason::Cold => Millis(site.length_ms) + AFTER_MS,
-            Reason::Limited { .. } | Reason::Leaving { .. } | Reason::Refusing { .. } => {
-                Millis::ZERO
-            }
+        warmup_left_ms: match scenario.limit_reason {
+            LimitReason::Cold => Millis(scenario.duration_ms) + COLD_MARGIN_MS,
+            LimitReason::Limited { .. }
+            | LimitReason::Leaving { .. }
+            | LimitReason::Refusing { .. } => Millis::ZERO,
         },
         ..(*entry.value).clone()
     };
