--- a/crates/dispatch/src/backpressure.rs
+++ b/crates/dispatch/src/backpressure.rs
@@ -16,7 +16,7 @@
 pub use rate_limit::LimitChange;
 
 use crate::fleet_rate::FleetRate;
-use domain::{FastMap, Millis, Past, PerSecond, UpstreamId};
+use domain::{FastMap, Millis, PerSecond, SignedTime, UpstreamId};
 use published::RunStart;
 use serde::{Deserialize, Serialize};
 use statements::{Leaving, Statements};
@@ -124,7 +124,7 @@
             statements.record_leaving(Leaving::Known);
         }
         if kind == ResponseKind::Served || stated.rate_limit.is_some() {
-            let stated_now = Past::ago(now_ms, Millis::ZERO);
+            let stated_now = SignedTime::from_age(now_ms, Millis::ZERO);
             statements.limit.merge(now_ms, stated_now, stated.rate_limit, sent_before);
         }
     }
@@ -137,7 +137,7 @@
         sent_before: impl Fn(&UpstreamId) -> f64,
     ) -> Vec<BackpressureChange> {
         let merge_one = |update: BackpressureUpdate| {
-            let stated = Past::ago(now_ms, update.age_ms);
+            let stated = SignedTime::from_age(now_ms, update.age_ms);
             let statements = self.get_mut((&update.upstream, update.run))?;
             statements.stated_ms = now_ms;
             let before = sent_before(&update.upstream);
--- a/crates/dispatch/src/backpressure/rate_limit.rs
+++ b/crates/dispatch/src/backpressure/rate_limit.rs
@@ -1,7 +1,7 @@
 //! The rate limit that one process run of an upstream stated.
 
 use crate::fleet_rate::FleetRate;
-use domain::{Millis, Past, PerSecond};
+use domain::{Millis, PerSecond, SignedTime};
 use serde::Serialize;
 
 /// Lowest limit that is applied. With no requests at all to an upstream that stated zero, no host
@@ -31,7 +31,7 @@
     /// The upstream stated one before, and no longer does.
     has_ended: bool,
     /// When the upstream last stated `rate`.
-    stated_at: Option<Past>,
+    stated_at: Option<SignedTime>,
     /// When the limit began.
     since_ms: Millis,
     /// Requests that this host had sent in the second before the limit began.
@@ -72,7 +72,7 @@
         rate: Option<PerSecond>,
         sent_before: f64,
     ) -> Option<LimitChange> {
-        self.stated_at = Some(Past::ago(now_ms, Millis::ZERO));
+        self.stated_at = Some(SignedTime::from_age(now_ms, Millis::ZERO));
         if !is_close(self.broadcast_rate, rate) {
             self.broadcast_rate = rate;
             self.is_pending = true;
@@ -84,7 +84,7 @@
     pub(super) fn merge(
         &mut self,
         now_ms: Millis,
-        stated_at: Past,
+        stated_at: SignedTime,
         rate: Option<PerSecond>,
         sent_before: f64,
     ) -> Option<LimitChange> {
--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -5,7 +5,7 @@
 //! divides the fixed number by the number of known hosts. Both have a margin, since hosts forget
 //! what they spent when they restart, and learn of each other late.
 
-use domain::{FastMap, Millis, PerSecond, ServiceName, Share, UpstreamId, Wakefulness};
+use domain::{FastMap, Millis, PerSecond, ServiceName, Share, SuspensionDetector, UpstreamId};
 use std::collections::VecDeque;
 
 /// Part of the allowed share that is used.
@@ -125,7 +125,7 @@
 pub struct ProbeBudget {
     per_second: PerSecond,
     tokens: FastMap<UpstreamId, (f64, Millis)>,
-    wakefulness: Wakefulness,
+    suspension_detector: SuspensionDetector,
 }
 
 /// Share of the health checks for the scheduler of a service.
@@ -148,8 +148,8 @@
 impl ProbeBudget {
     /// Creates the budget for probes of each upstream by all hosts together.
     pub fn new(per_second: PerSecond) -> ProbeBudget {
-        let wakefulness = Wakefulness::default();
-        ProbeBudget { per_second, tokens: FastMap::default(), wakefulness }
+        let suspension_detector = SuspensionDetector::default();
+        ProbeBudget { per_second, tokens: FastMap::default(), suspension_detector }
     }
 
     /// Changes the allowance.
@@ -160,7 +160,7 @@
     /// Records that the process runs. No tokens accrue while it is suspended: a fleet that resumes
     /// together would spend all of them at once.
     pub fn record_awake(&mut self, now_ms: Millis) {
-        let suspended_ms = self.wakefulness.note(now_ms);
+        let suspended_ms = self.suspension_detector.record_awake(now_ms);
         if suspended_ms > Millis::ZERO {
             self.tokens.values_mut().for_each(|(_, at_ms)| *at_ms = *at_ms + suspended_ms);
         }
@@ -169,7 +169,7 @@
     /// Spends one probe of an upstream, whose rate `sharing_hosts` hosts share; false if none is
     /// left.
     pub fn try_spend(&mut self, now_ms: Millis, upstream: &UpstreamId, sharing_hosts: f64) -> bool {
-        if self.wakefulness.is_noted() {
+        if self.suspension_detector.has_record() {
             self.record_awake(now_ms);
         }
         let rate = self.per_second.0 * PROBES_USED / sharing_hosts.max(1.0);
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -43,7 +43,7 @@
     tokio::task::spawn_local(async move {
         let looking = has_crashed(&host, &broken.upstream);
         let has_crashed = clock::timeout(LOOK, looking).await.unwrap_or(false);
-        host.metrics.broke_off(has_crashed);
+        host.metrics.upstream_broke_off(has_crashed);
         if has_crashed {
             note_crash(&host, broken);
         }
@@ -58,7 +58,7 @@
         EntryState::Leaving => return false,
         EntryState::Ready => {}
     }
-    host.metrics.connected();
+    host.metrics.connection_opened();
     match Connection::open(entry.address, LOOK).await {
         Ok(connection) => {
             host.pool.borrow_mut().put(&entry.id, connection.belonging_to(entry.run));
@@ -129,7 +129,7 @@
 /// A trial of this host ended.
 pub fn end_trial(host: &Host, fingerprint: RequestFingerprint) {
     host.quarantine.borrow_mut().end_trial(fingerprint);
-    host.quarantine_news.notify_waiters();
+    host.quarantine_changed.notify_waiters();
 }
 
 /// An operator lifts the verdict on a request; false if there is none.
@@ -147,33 +147,33 @@
 }
 
 /// What is due now and then: forgets, and offers a peer what it may have missed.
-pub fn turn(host: &Host) {
+pub fn run_maintenance(host: &Host) {
     let now_ms = host.now_ms();
     host.quarantine.borrow_mut().expire(now_ms);
     let Some(digest) = host.quarantine.borrow_mut().digest_if_due(now_ms) else { return };
     let offer = Datagram::Quarantine(QuarantineMessage::Digest { digest });
-    fleet_message::tell_some(host, &offer, 1);
+    fleet_message::send_to_random_peers(host, &offer, 1);
 }
 
 /// Peers were heard of. After the start they are asked for what this host missed, a few times only:
 /// hundreds of hosts that start together hear of each other in dozens of messages.
-pub fn note_peers(host: &Host) {
-    let asked = host.quarantine_asks.get();
-    if asked < fleet_message::START_ASKS && host.quarantine.borrow().is_empty() {
-        host.quarantine_asks.set(asked + 1);
-        ask_peers(host);
+pub fn catch_up_after_start(host: &Host) {
+    let asked = host.quarantine_requests_sent.get();
+    if asked < fleet_message::START_REQUESTS && host.quarantine.borrow().is_empty() {
+        host.quarantine_requests_sent.set(asked + 1);
+        request_from_peers(host);
     }
 }
 
 /// Asks some peers for what this host missed: it has just started, or stood still.
-pub fn ask_peers(host: &Host) {
+pub fn request_from_peers(host: &Host) {
     let digest = host.quarantine.borrow().digest();
     let ask = Datagram::Quarantine(QuarantineMessage::Request { digest });
-    fleet_message::ask_some(host, &ask);
+    fleet_message::request_from_random_peers(host, &ask);
 }
 
 /// Takes a peer's message; true if the peer waits to hear that this host is there.
-pub fn take(host: &Host, message: QuarantineMessage, from: SocketAddr) -> bool {
+pub fn handle_message(host: &Host, message: QuarantineMessage, from: SocketAddr) -> bool {
     let now_ms = host.now_ms();
     let own_digest = host.quarantine.borrow().digest();
     match message {
@@ -181,7 +181,7 @@
             if should_relay {
                 let passed =
                     QuarantineMessage::Suspects { suspects: suspects.clone(), should_relay: false };
-                fleet_message::pass_on(host, &Datagram::Quarantine(passed));
+                fleet_message::forward_in_zone(host, &Datagram::Quarantine(passed));
             }
             let changed = host.quarantine.borrow_mut().merge(now_ms, suspects);
             announce(host, changed);
@@ -203,7 +203,7 @@
 fn tell_fleet(host: &Host) {
     let untold = host.quarantine.borrow_mut().take_pending(host.now_ms());
     let Some(suspects) = untold else { return };
-    fleet_message::tell_fleet(host, |should_relay| {
+    fleet_message::broadcast(host, |should_relay| {
         let suspects = suspects.clone();
         Datagram::Quarantine(QuarantineMessage::Suspects { suspects, should_relay })
     });
@@ -217,7 +217,7 @@
 fn announce(host: &Host, changed: impl IntoIterator<Item = SuspectChange>) {
     let now_ms = host.now_ms();
     for changed in changed {
-        host.quarantine_news.notify_waiters();
+        host.quarantine_changed.notify_waiters();
         host.log.write(&LogEvent::Quarantine {
             fingerprint: changed.fingerprint,
             change: changed.status,
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,16 +1,16 @@
-//! One request, from its arrival to its final answer.
+//! Serves one request, from its arrival to its final response.
 
 mod admission;
-mod finding;
+mod attempt;
+mod attempt_end;
+mod attempt_guard;
 mod fingerprint;
-mod in_progress;
 mod routing;
-mod sending;
-mod settling;
+mod selection;
 
 pub use fingerprint::fingerprint;
 
-use crate::connection::Answer;
+use crate::connection::Response;
 use crate::event_log::LogEvent;
 use crate::host::Host;
 use crate::http1::RequestHead;
@@ -22,49 +22,50 @@
 use std::cell::{Cell, OnceCell};
 use std::rc::Rc;
 
-/// A request that has arrived whole.
+/// A request that was read completely.
 #[derive(Debug)]
 pub struct Request {
-    /// Its head.
+    /// Request line and headers.
     pub head: RequestHead,
-    /// Its body.
+    /// Body, without its framing.
     pub body: Vec<u8>,
-    /// When its head was there.
+    /// When its head was complete.
     pub arrived_ms: Millis,
 }
 
 impl Request {
-    /// The time that its caller has, if it states one under this name.
-    fn stated_ms(&self, name: &str) -> Option<Millis> {
+    /// A duration in milliseconds that the caller stated in this header, if it is valid.
+    fn header_ms(&self, name: &str) -> Option<Millis> {
         let stated_ms = self.head.fields.get(name)?.parse::<f64>().ok()?;
         (stated_ms >= 0.0).then_some(Millis(stated_ms as u64))
     }
 }
 
-/// The final answer to a request.
+/// The final response to a request.
 #[derive(Debug)]
 pub enum Reply {
-    /// An upstream's.
-    Answer(Answer),
-    /// The host's own.
+    /// A response of an upstream.
+    Response(Response),
+    /// A refusal by this host.
     Refused(Refusal),
 }
 
-/// What others may see of a request in progress.
+/// Progress of a request, shared with the task that reads the caller's connection.
 #[derive(Debug, Default)]
-pub struct Progress {
-    /// It was sent and must not be broken off when its caller leaves: it runs at most once,
-    /// and an order half done helps nobody.
-    pub runs_on: Cell<bool>,
-    /// Sendings so far.
-    pub sendings: Cell<u32>,
+pub struct RequestProgress {
+    /// The request was sent and runs at most once, so it isn't cancelled when its caller
+    /// disconnects: it may have side effects that would be left half done.
+    pub continues_without_caller: Cell<bool>,
+    /// Attempts so far.
+    pub attempts: Cell<u32>,
 }
 
-struct Serving {
+/// A request with its route, its service, and the time by which it must be answered.
+struct RoutedRequest {
     host: Rc<Host>,
     caller: Rc<Caller>,
     request: Rc<Request>,
-    progress: Rc<Progress>,
+    progress: Rc<RequestProgress>,
     id: String,
     matched: MatchedRoute,
     service: ServiceName,
@@ -72,40 +73,41 @@
     fingerprint: OnceCell<RequestFingerprint>,
 }
 
-/// Counts a request as open, and tells when its caller left it.
-struct OpenRequest {
+/// Counts a request as open while it exists; logs if the request is dropped unanswered,
+/// which happens when its caller disconnects.
+struct OpenRequestGuard {
     host: Rc<Host>,
     id: String,
     arrived_ms: Millis,
-    progress: Rc<Progress>,
+    progress: Rc<RequestProgress>,
     is_answered: bool,
 }
 
-impl Drop for OpenRequest {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         self.host.open_requests.set(self.host.open_requests.get().saturating_sub(1));
         if !self.is_answered {
-            self.host.metrics.caller_gone();
+            self.host.metrics.caller_hung_up();
             self.host.log.write(&LogEvent::CallerGone {
                 id: &self.id,
                 after_ms: self.host.now_ms().since(self.arrived_ms),
-                sendings: self.progress.sendings.get(),
+                sendings: self.progress.attempts.get(),
                 runs_on: false,
             });
         }
     }
 }
 
-/// Serves a request. Dropped midway, everything in progress for it is withdrawn.
+/// Serves a request. Dropping the future cancels everything in progress for the request.
 pub async fn serve(
     host: Rc<Host>,
     caller: Rc<Caller>,
     request: Rc<Request>,
-    progress: Rc<Progress>,
+    progress: Rc<RequestProgress>,
 ) -> Reply {
     host.open_requests.set(host.open_requests.get() + 1);
     let id = request.head.fields.get(host.dialect.request_id).unwrap_or_default().to_owned();
-    let mut open = OpenRequest {
+    let mut open = OpenRequestGuard {
         host: Rc::clone(&host),
         id: id.clone(),
         arrived_ms: request.arrived_ms,
@@ -124,38 +126,39 @@
     match outcome {
         Ok(reply) => reply,
         Err(refusal) => {
-            note_refusal(&host, &id, &route, refusal, &request, &progress);
+            log_refusal(&host, &id, &route, refusal, &request, &progress);
             Reply::Refused(refusal)
         }
     }
 }
 
-fn note_refusal(
+fn log_refusal(
     host: &Host,
     id: &str,
     route: &str,
     refusal: Refusal,
     request: &Request,
-    progress: &Progress,
+    progress: &RequestProgress,
 ) {
-    host.metrics.refused(route, refusal.cause);
+    host.metrics.request_refused(route, refusal.cause);
     host.log.write(&LogEvent::Refused {
         id,
         status: refusal.cause.status(),
         refusal,
         after_ms: host.now_ms().since(request.arrived_ms),
-        sendings: progress.sendings.get(),
-        picture_age_ms: host.picture_age_ms(),
+        sendings: progress.attempts.get(),
+        picture_age_ms: host.state_age_ms(),
     });
 }
 
+/// Chooses the route and the service of a request, and computes its deadline.
 fn route(
     host: &Rc<Host>,
     caller: &Rc<Caller>,
     request: &Rc<Request>,
-    progress: &Rc<Progress>,
+    progress: &Rc<RequestProgress>,
     id: &str,
-) -> Result<Serving, Refusal> {
+) -> Result<RoutedRequest, Refusal> {
     let table = host.table.borrow().clone();
     let table = table.ok_or(Refusal::not_run(Cause::NotConfigured))?;
     let authority = request.head.fields.get("host").unwrap_or_default();
@@ -163,9 +166,9 @@
     let matched = matched.ok_or(Refusal::not_run(Cause::NoRoute))?;
     let service = next_service(host, &matched.route)?;
     let now_ms = host.now_ms();
-    host.repeats.borrow_mut().record_request(now_ms, &service, host.hosts());
+    host.retry_budget.borrow_mut().record_request(now_ms, &service, host.host_count());
     let arrived_ms = request.arrived_ms;
-    let stated_ms = request.stated_ms(host.dialect.deadline_ms);
+    let stated_ms = request.header_ms(host.dialect.deadline_ms);
     let deadline_ms = stated_ms.map_or(Millis::MAX, |stated_ms| arrived_ms + stated_ms);
     let end_ms = deadline_ms.min(arrived_ms + matched.route.timeout_ms);
     host.log.write(&LogEvent::Routed {
@@ -174,9 +177,9 @@
         service: &service,
         routing: matched.version,
         left_ms: end_ms.since(now_ms),
-        picture_age_ms: host.picture_age_ms(),
+        picture_age_ms: host.state_age_ms(),
     });
-    Ok(Serving {
+    Ok(RoutedRequest {
         host: Rc::clone(host),
         caller: Rc::clone(caller),
         request: Rc::clone(request),
--- a/crates/gateway/src/reading.rs
+++ b/crates/gateway/src/source_reader.rs
@@ -3,7 +3,7 @@
 use crate::event_log::LogEvent;
 use crate::host::Host;
 use crate::peers::Peers;
-use crate::source::{Changes, Page, Reading, Source, SourceError, Unreadable};
+use crate::source::{Changes, Page, ReadResult, Source, SourceError, UnreadableValue};
 use domain::Millis;
 use published::{ReadStep, Reader, Revision, Snapshot};
 use rand::RngExt;
@@ -17,22 +17,22 @@
 const MOST_UNREADABLE_TOLD: usize = 8;
 
 /// A host's reading.
-pub struct Readings<S> {
+pub struct SourceReader<S> {
     host: Rc<Host>,
     peers: Rc<Peers>,
     source: S,
     reader: Reader,
     /// The beginning of a whole reading, whose rest may come from a peer.
-    begun: Option<Reading<Page>>,
+    begun: Option<ReadResult<Page>>,
     was_reading: bool,
     was_held: bool,
     lost_ms: Option<Millis>,
 }
 
-impl<S: Source> Readings<S> {
+impl<S: Source> SourceReader<S> {
     /// Reads by the rules of `reader`.
-    pub fn new(host: Rc<Host>, peers: Rc<Peers>, source: S, reader: Reader) -> Readings<S> {
-        Readings {
+    pub fn new(host: Rc<Host>, peers: Rc<Peers>, source: S, reader: Reader) -> SourceReader<S> {
+        SourceReader {
             host,
             peers,
             source,
@@ -51,12 +51,12 @@
                 self.wait_until(self.host.now_ms() + OFFER_STEP_MS).await;
                 continue;
             }
-            if self.host.picture().confirmed_ms().is_some() {
+            if self.host.published_state().confirmed_ms().is_some() {
                 self.begun = None;
             }
             let step = {
                 let gossip = self.host.gossip.borrow();
-                let is_wanted = self.host.awaits_routing.get();
+                let is_wanted = self.host.is_routing_awaited.get();
                 self.reader.step(
                     self.host.now_ms(),
                     gossip.members(),
@@ -70,8 +70,8 @@
             match step {
                 ReadStep::Wait(until_ms) => self.wait_until(until_ms).await,
                 ReadStep::Sample => self.read_sample().await,
-                ReadStep::FirstPage => self.read_first().await,
-                ReadStep::Snapshot => self.read_whole().await,
+                ReadStep::FirstPage => self.read_first_page().await,
+                ReadStep::Snapshot => self.read_all().await,
                 ReadStep::Changes(wait_ms) => self.read_changes(wait_ms).await,
             }
             self.host.source_calls.set(self.source.calls());
@@ -80,7 +80,7 @@
 
     async fn wait_until(&self, until_ms: Millis) {
         tokio::select! {
-            () = self.host.news.notified() => {}
+            () = self.host.state_updated.notified() => {}
             () = self.host.clock.sleep_until(until_ms) => {}
         }
     }
@@ -89,7 +89,7 @@
         let is_reading = self.reader.is_reading();
         if std::mem::replace(&mut self.was_reading, is_reading) != is_reading {
             let rank = self.host.members().reader_rank();
-            let picture_age_ms = self.host.picture_age_ms();
+            let picture_age_ms = self.host.state_age_ms();
             self.host.log.write(&LogEvent::Reading { is_reading, rank, picture_age_ms });
         }
     }
@@ -103,7 +103,7 @@
             self.host.log.write(&LogEvent::ReadingHeld {
                 failed_readers: self.host.members().failed_readers(now_ms),
                 for_ms: until_ms.since(now_ms),
-                picture_age_ms: self.host.picture_age_ms(),
+                picture_age_ms: self.host.state_age_ms(),
             });
         }
     }
@@ -112,11 +112,11 @@
     async fn read_sample(&mut self) {
         let draw = self.host.rng.borrow_mut().random();
         match self.source.read_sample(draw).await {
-            Ok(Reading { value, unreadable }) => {
+            Ok(ReadResult { value, unreadable }) => {
                 let now_ms = self.host.now_ms();
                 self.note_unreadable(&unreadable);
                 let is_enough = published::covers_services(&value);
-                self.peers.act(|gossip| gossip.apply_partial_items(now_ms, value));
+                self.peers.run_gossip(|gossip| gossip.apply_partial_items(now_ms, value));
                 self.reader.sample_succeeded(is_enough);
             }
             Err(error) => self.note_failure(&error),
@@ -125,16 +125,16 @@
 
     /// One call: all of a small source, and of a large one enough to serve until a peer tells
     /// the rest.
-    async fn read_first(&mut self) {
+    async fn read_first_page(&mut self) {
         self.host.gossip.borrow_mut().set_initial_read(true);
-        match self.source.read_first().await {
-            Ok(Reading { value: Page { so_far, end: None }, unreadable }) => {
-                self.take_whole(Reading { value: so_far, unreadable });
+        match self.source.read_first_page().await {
+            Ok(ReadResult { value: Page { values, next: None }, unreadable }) => {
+                self.take_whole(ReadResult { value: values, unreadable });
             }
             Ok(begun) => {
                 let now_ms = self.host.now_ms();
-                let items = begun.value.so_far.items.clone();
-                self.peers.act(|gossip| gossip.apply_partial_items(now_ms, items));
+                let items = begun.value.values.items.clone();
+                self.peers.run_gossip(|gossip| gossip.apply_partial_items(now_ms, items));
                 let reads_on = self.reader.first_page_succeeded();
                 self.host.gossip.borrow_mut().set_initial_read(reads_on);
                 self.begun = Some(begun);
@@ -143,11 +143,11 @@
         }
     }
 
-    async fn read_whole(&mut self) {
+    async fn read_all(&mut self) {
         self.host.gossip.borrow_mut().set_initial_read(true);
         let reading = match self.begun.take() {
-            Some(begun) => self.source.read_rest(begun).await,
-            None => self.source.read_whole().await,
+            Some(begun) => self.source.read_remaining_pages(begun).await,
+            None => self.source.read_all().await,
         };
         match reading {
             Ok(reading) => self.take_whole(reading),
@@ -155,33 +155,35 @@
         }
     }
 
-    fn take_whole(&mut self, reading: Reading<Snapshot>) {
+    fn take_whole(&mut self, reading: ReadResult<Snapshot>) {
         let now_ms = self.host.now_ms();
         self.note_unreadable(&reading.unreadable);
         self.note_success(now_ms, reading.value.revision);
-        self.peers.act(|gossip| gossip.apply_snapshot(now_ms, reading.value));
+        self.peers.run_gossip(|gossip| gossip.apply_snapshot(now_ms, reading.value));
         self.reader.succeeded(now_ms, true);
     }
 
     async fn read_changes(&mut self, wait_ms: Millis) {
-        let after = self.host.picture().revision();
+        let after = self.host.published_state().revision();
         match self.source.read_changes(after, wait_ms).await {
             Ok(reading) => self.take_changes(after, reading),
             Err(error) => self.note_failure(&error),
         }
     }
 
-    fn take_changes(&mut self, after: Revision, reading: Reading<Changes>) {
+    fn take_changes(&mut self, after: Revision, reading: ReadResult<Changes>) {
         let now_ms = self.host.now_ms();
         self.note_unreadable(&reading.unreadable);
         let Changes { revision, changes } = reading.value;
         self.note_success(now_ms, revision);
         self.reader.succeeded(now_ms, !changes.is_empty());
-        self.peers.act(|gossip| gossip.apply_changes(now_ms, after, revision, &changes));
+        self.peers.run_gossip(|gossip| gossip.apply_changes(now_ms, after, revision, &changes));
     }
 
-    fn note_unreadable(&self, unreadable: &[Unreadable]) {
-        for Unreadable { key, revision, problem } in unreadable.iter().take(MOST_UNREADABLE_TOLD) {
+    fn note_unreadable(&self, unreadable: &[UnreadableValue]) {
+        for UnreadableValue { key, revision, problem } in
+            unreadable.iter().take(MOST_UNREADABLE_TOLD)
+        {
             self.host.log.write(&LogEvent::Unreadable { key, revision: *revision, problem });
         }
         let count = unreadable.len().saturating_sub(MOST_UNREADABLE_TOLD);
@@ -200,7 +202,7 @@
     /// A peer read what this host could not: what is believed is confirmed again.
     fn note_told(&mut self) {
         let (confirmed_ms, revision) = {
-            let picture = self.host.picture();
+            let picture = self.host.published_state();
             (picture.confirmed_ms(), picture.revision())
         };
         let Some(lost_ms) = self.lost_ms.filter(|&lost_ms| confirmed_ms > Some(lost_ms)) else {
@@ -218,10 +220,10 @@
             return;
         }
         self.reader.failed(now_ms);
-        self.peers.act(|gossip| gossip.broadcast_read_failure(now_ms));
+        self.peers.run_gossip(|gossip| gossip.broadcast_read_failure(now_ms));
         if self.lost_ms.is_none() {
             self.lost_ms = Some(now_ms);
-            let picture_age_ms = self.host.picture_age_ms();
+            let picture_age_ms = self.host.state_age_ms();
             let problem = error.to_string();
             self.host.log.write(&LogEvent::SourceLost { problem, picture_age_ms });
         }
