--- a/crates/dispatch/tests/budget.rs
+++ b/crates/dispatch/tests/budget.rs
@@ -1,4 +1,5 @@
-//! What the fleet may spend holds while hosts come, go and know each other late.
+//! The fleet stays within its retry and probe budgets while hosts join, leave and learn of each
+//! other late.
 #![allow(clippy::unwrap_used)]
 
 use dispatch::budget::{FleetRetryLimits, ProbeBudget, RetryBudget};
@@ -12,7 +13,7 @@
     "parts".parse().unwrap()
 }
 
-/// Repeats of a host that takes all it can, with so many requests a second.
+/// Retries of a host that spends all it can at this rate of requests.
 fn spend(budget: &mut RetryBudget, from_ms: u64, to_ms: u64, per_s: u64, hosts: u32) -> u32 {
     let mut spent = 0;
     for now in (from_ms..to_ms).step_by(10) {
@@ -28,9 +29,9 @@
 
 #[rstest]
 #[case::small_fleet(3, 50)]
-#[case::today(17, 10)]
+#[case::medium(17, 10)]
 #[case::large(124, 5)]
-fn the_fleet_stays_within_any_window(#[case] hosts: u32, #[case] per_s: u64) {
+fn retries_stay_within_the_limit_in_any_window(#[case] hosts: u32, #[case] per_s: u64) {
     let mut budget = RetryBudget::new(ALLOWED, Millis::ZERO);
     spend(&mut budget, 0, 30_000, per_s, hosts);
     let spent = spend(&mut budget, 30_000, 40_000, per_s, hosts) * hosts;
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn a_fleet_that_restarts_within_a_window_stays_within_it() {
+fn retries_stay_within_the_limit_if_all_hosts_restart() {
     let (hosts, per_s) = (17, 2);
     let mut before = RetryBudget::new(ALLOWED, Millis::ZERO);
     let first = spend(&mut before, 0, 5_000, per_s, hosts);
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn a_host_that_knows_nobody_yet_takes_the_fleet_to_be_large() {
+fn a_new_host_assumes_a_large_fleet() {
     let mut budget = RetryBudget::new(ALLOWED, Millis::ZERO);
     budget.record_request(Millis(10), &service(), 1);
     assert!(budget.remaining(Millis(10), &service()) < 3.0);
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn a_spent_budget_is_there_again_after_the_window() {
+fn a_spent_budget_is_available_again_after_the_window() {
     let mut budget = RetryBudget::new(ALLOWED, Millis::ZERO);
     budget.record_request(Millis(5_000), &service(), 17);
     while budget.try_spend(Millis(5_000), &service()) {}
@@ -73,17 +74,17 @@
 fn health_checks_stay_within_their_rate(#[case] sharing: f64) {
     let upstream: UpstreamId = "i-1".parse().unwrap();
     let mut budget = ProbeBudget::new(PerSecond(60.0));
-    let mut asked = 0;
+    let mut probes = 0;
     for now in 0..40_000 {
-        asked += u32::from(budget.try_spend(Millis(now), &upstream, sharing));
+        probes += u32::from(budget.try_spend(Millis(now), &upstream, sharing));
     }
-    let mean = f64::from(asked) / 40.0 * sharing;
+    let mean = f64::from(probes) / 40.0 * sharing;
     assert!(mean <= 60.0, "{mean}");
     assert!(mean >= 45.0, "{mean}");
 }
 
 #[test]
-fn calm_times_save_up_for_a_burst() {
+fn idle_times_save_up_for_a_burst() {
     let upstream: UpstreamId = "i-1".parse().unwrap();
     let mut budget = ProbeBudget::new(PerSecond(60.0));
     assert!(budget.try_spend(Millis::ZERO, &upstream, 13.0));
@@ -92,23 +93,23 @@
     assert!(burst < 130, "{burst}");
 }
 
-/// A process that stood still has saved nothing up for that time; one that was calm has.
+/// A suspended process saves up no probes; an idle one does.
 #[rstest]
-#[case::calm(500, 270)]
-#[case::stood_still(60_000, 0)]
-fn nothing_is_saved_up_while_the_process_stands_still(
-    #[case] seen_awake_each_ms: usize,
+#[case::idle(500, 270)]
+#[case::suspended(60_000, 0)]
+fn nothing_is_saved_up_while_the_process_is_suspended(
+    #[case] awake_interval_ms: usize,
     #[case] expected: usize,
 ) {
-    let mut asks = ProbeBudget::new(PerSecond(10.0));
+    let mut budget = ProbeBudget::new(PerSecond(10.0));
     let upstream: UpstreamId = "i-1".parse().unwrap();
-    let spend = |asks: &mut ProbeBudget, now: u64| {
-        (0..1_000).filter(|_| asks.try_spend(Millis(now), &upstream, 1.0)).count()
+    let spend = |budget: &mut ProbeBudget, now: u64| {
+        (0..1_000).filter(|_| budget.try_spend(Millis(now), &upstream, 1.0)).count()
     };
-    asks.record_awake(Millis(1_000));
-    spend(&mut asks, 1_000);
-    for now in (1_000..=61_000).step_by(seen_awake_each_ms) {
-        asks.record_awake(Millis(now));
+    budget.record_awake(Millis(1_000));
+    spend(&mut budget, 1_000);
+    for now in (1_000..=61_000).step_by(awake_interval_ms) {
+        budget.record_awake(Millis(now));
     }
-    assert_eq!(spend(&mut asks, 61_000), expected);
+    assert_eq!(spend(&mut budget, 61_000), expected);
 }
