--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Upstreams of an evacuated zone get nothing new, on any path by which a request finds one.
+//! Upstreams of an evacuated availability zone receive no new request, however one is chosen.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -27,17 +27,17 @@
 
 /// The evacuations of these zones.
 fn evacuations(zones: &[&str]) -> Evacuations {
-    let mut picture = PublishedState::default();
+    let mut state = PublishedState::default();
     for name in zones {
         let value = Item::Evacuation(zone(name));
         let change = Change::Written(Entry { revision: Revision(1), value });
-        picture.apply_changes(NOW, Revision(0), Revision(1), vec![change]);
+        state.apply_changes(NOW, Revision(0), Revision(1), vec![change]);
     }
-    picture.evacuations().clone()
+    state.evacuations().clone()
 }
 
-/// So many upstreams in each of three zones, seen from a host in `kariakoo`.
-fn site(each: usize) -> Vec<Entry<Arc<Upstream>>> {
+/// `each` upstreams in each of three zones.
+fn three_zones(each: usize) -> Vec<Entry<Arc<Upstream>>> {
     let in_zone = |zone: &'static str| {
         (0..each).map(move |number| entry(&format!("i-{zone}-{number}"), zone))
     };
@@ -57,14 +57,14 @@
 #[rstest]
 #[case::few(2)]
 #[case::more_than_a_subset(12)]
-fn nobody_is_asked_there(#[case] each: usize) {
-    let set = set_of(&site(each), &["kariakoo"]);
+fn no_upstream_there_is_probed(#[case] each: usize) {
+    let set = set_of(&three_zones(each), &["kariakoo"]);
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    for reach in [ZoneScope::Local, ZoneScope::Other] {
-        let asked =
-            set.choose_probe_targets(NOW, &service(), &[], (100, reach), |_| false, &mut rng);
-        assert_eq!(asked.len(), 2 * each);
-        assert!(asked.iter().all(|id| !id.as_str().contains("kariakoo")), "{asked:?}");
+    for zone_scope in [ZoneScope::Local, ZoneScope::Other] {
+        let chosen =
+            set.choose_probe_targets(NOW, &service(), &[], (100, zone_scope), |_| false, &mut rng);
+        assert_eq!(chosen.len(), 2 * each);
+        assert!(chosen.iter().all(|id| !id.as_str().contains("kariakoo")), "{chosen:?}");
     }
 }
 
@@ -73,20 +73,20 @@
 #[case::another_zone(&["temeke"], Some("kariakoo"))]
 #[case::the_own_zone(&["kariakoo", "temeke"], Some("msasani"))]
 #[case::all(&["kariakoo", "msasani", "temeke"], None)]
-fn a_request_goes_to_the_scheduler_of_a_zone_that_takes_work(
+fn a_request_goes_to_the_scheduler_of_a_zone_with_eligible_upstreams(
     #[case] evacuated: &[&str],
     #[case] wanted: Option<&str>,
 ) {
-    let set = set_of(&site(12), evacuated);
+    let set = set_of(&three_zones(12), evacuated);
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let cell = Cell::for_request(&service(), &zone("kariakoo"), &set, &mut rng);
     assert_eq!(cell.zone, wanted.map(zone));
 }
 
-/// Load moves to the zones that are left by the upstreams that they have.
+/// Requests move to the remaining zones in proportion to their upstreams.
 #[test]
-fn the_requests_of_an_evacuated_zone_spread_by_what_the_others_have() {
-    let mut entries = site(12);
+fn requests_of_an_evacuated_zone_spread_in_proportion_to_the_others_upstreams() {
+    let mut entries = three_zones(12);
     entries.extend((0..24).map(|number| entry(&format!("i-more-{number}"), "temeke")));
     let set = set_of(&entries, &["kariakoo"]);
     let mut rng = Pcg64Mcg::seed_from_u64(1);
@@ -97,9 +97,10 @@
     assert!((700..800).contains(&drawn.count()));
 }
 
-/// A request waits as all upstreams are busy; then the zone is evacuated and a slot comes free.
+/// A request waits while all upstreams are busy; then the zone is evacuated, and a slot becomes
+/// free.
 #[test]
-fn what_waits_already_is_not_placed_there() {
+fn a_waiting_request_is_not_placed_there() {
     let entries = [entry("i-1", "kariakoo"), entry("i-2", "temeke")];
     let mut set = set_of(&entries, &[]);
     let cell = Cell { service: service(), zone: None };
@@ -129,8 +130,8 @@
 }
 
 #[test]
-fn where_all_is_evacuated_it_is_said_at_once() {
-    let mut set = set_of(&site(2), &["kariakoo", "msasani", "temeke"]);
+fn a_request_is_refused_at_once_if_all_zones_are_evacuated() {
+    let mut set = set_of(&three_zones(2), &["kariakoo", "msasani", "temeke"]);
     assert!(set.is_evacuated(&service()));
     let cell = Cell { service: service(), zone: None };
     let mut rng = Pcg64Mcg::seed_from_u64(1);
@@ -143,6 +144,6 @@
             if *cause == no_upstream)
     };
     assert!(effects.iter().any(is_refused), "{effects:?}");
-    let part = set_of(&site(2), &["kariakoo"]);
+    let part = set_of(&three_zones(2), &["kariakoo"]);
     assert!(!part.is_evacuated(&service()));
 }
