--- a/crates/dispatch/tests/leaving.rs
+++ b/crates/dispatch/tests/leaving.rs
@@ -1,4 +1,5 @@
-//! An upstream that says in its answers that it is leaving gets nothing new, whatever is published.
+//! An upstream that announces in its responses that it is leaving receives nothing new, whatever
+//! is published.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -28,7 +29,7 @@
 #[case::served(ResponseKind::Served)]
 #[case::failed(ResponseKind::Failed)]
 #[case::health_check(ResponseKind::HealthCheck)]
-fn any_answer_says_so_and_none_takes_it_back(#[case] kind: ResponseKind) {
+fn any_response_announces_it_and_none_revokes_it(#[case] kind: ResponseKind) {
     let mut set = set(&[entry("i-1", "kariakoo")]);
     let at = (&id("i-1"), RUN);
     let changed = set.record_backpressure(NOW, at, kind, LEAVES).unwrap();
@@ -37,18 +38,22 @@
     assert!(!set.accepts_requests(&id("i-1")));
     let later = set.record_backpressure(NOW, at, ResponseKind::Served, Backpressure::default());
     assert!(later.is_none());
-    assert_eq!(set.record_backpressure(NOW, at, kind, LEAVES), None, "it is told once");
+    assert_eq!(
+        set.record_backpressure(NOW, at, kind, LEAVES),
+        None,
+        "a repeated announcement changes nothing"
+    );
     assert!(!set.accepts_requests(&id("i-1")));
 }
 
 #[rstest]
-#[case::entry_is_written_anew(&[entry("i-1", "kariakoo")], Some(Eligibility::SaysLeaving))]
-#[case::entry_says_so_too(
+#[case::entry_is_rewritten(&[entry("i-1", "kariakoo")], Some(Eligibility::SaysLeaving))]
+#[case::entry_is_draining_too(
     &[entry_in("i-1", "kariakoo", UpstreamMode::Draining)],
     Some(Eligibility::Draining)
 )]
-#[case::entry_lapses(&[], None)]
-fn what_is_published_does_not_revive_it(
+#[case::entry_expires(&[], None)]
+fn published_entries_do_not_revoke_it(
     #[case] entries: &[Entry<Arc<Upstream>>],
     #[case] wanted: Option<Eligibility>,
 ) {
@@ -68,39 +73,39 @@
     set.record_backpressure(NOW, (&id("i-1"), run), ResponseKind::Served, LEAVES);
     sync(&mut set, &[of_run("i-1", 200)]);
     assert_eq!(eligibility(&set), Some(Eligibility::Eligible));
-    // A late answer of the former run.
+    // A late response of the former process run.
     set.record_backpressure(NOW, (&id("i-1"), run), ResponseKind::Served, LEAVES);
     assert_eq!(eligibility(&set), Some(Eligibility::Eligible));
 }
 
 #[test]
-fn peers_are_told_once_and_hold_the_same() {
-    let (mut telling, mut hearing) =
+fn peers_receive_it_once_and_have_the_same_digest() {
+    let (mut sender, mut receiver) =
         (set(&[entry("i-1", "kariakoo")]), set(&[entry("i-1", "kariakoo")]));
-    telling.record_backpressure(NOW, (&id("i-1"), RUN), ResponseKind::Served, LEAVES);
-    let told = telling.backpressure_mut().take_pending(NOW);
-    assert_eq!(told.len(), 1);
-    assert!(telling.backpressure_mut().take_pending(NOW).is_empty());
-    // A clock that has just started: what was said is older than it.
-    let changed = hearing.merge_backpressure(Millis(5), told.clone());
+    sender.record_backpressure(NOW, (&id("i-1"), RUN), ResponseKind::Served, LEAVES);
+    let updates = sender.backpressure_mut().take_pending(NOW);
+    assert_eq!(updates.len(), 1);
+    assert!(sender.backpressure_mut().take_pending(NOW).is_empty());
+    // The receiver's clock has just started: the statement is older than it.
+    let changed = receiver.merge_backpressure(Millis(5), updates.clone());
     assert!(changed.iter().any(|change| change.is_leaving));
-    assert!(!hearing.accepts_requests(&id("i-1")));
-    assert!(!hearing.backpressure().has_pending());
-    assert!(hearing.merge_backpressure(Millis(5), told).is_empty());
-    assert_eq!(telling.backpressure().digest(), hearing.backpressure().digest());
+    assert!(!receiver.accepts_requests(&id("i-1")));
+    assert!(!receiver.backpressure().has_pending());
+    assert!(receiver.merge_backpressure(Millis(5), updates).is_empty());
+    assert_eq!(sender.backpressure().digest(), receiver.backpressure().digest());
 }
 
 const FROM_MS: u64 = 1_500;
 
-/// From then on nothing may reach it from hosts in touch.
-const KNOWN_WITHIN_MS: u64 = 500;
+/// After this time, no request of a connected host may arrive.
+const SPREAD_MS: u64 = 500;
 
 #[rstest]
 #[case::calm(Fault::Nothing)]
 #[case::lossy(Fault::Lossy)]
 #[case::nobody_schedules(Fault::NoScheduler)]
 #[case::schedulers_are_killed(Fault::SchedulersKilled { each_ms: 300 })]
-fn a_fleet_sends_nothing_new_to_what_leaves(
+fn a_fleet_sends_nothing_new_to_a_leaving_upstream(
     #[case] fault: Fault,
     #[values(13, 111, 472)] hosts: usize,
 ) {
@@ -119,16 +124,16 @@
         let received = Simulation::run_with_sources(&scenario);
         let late = received.values().filter_map(|of| {
             let first_ms = of.stated_ms.values().min()?;
-            // Of hosts whose links lose a fifth of all messages only those that heard it themselves
-            // are sure to know.
+            // With a fifth of all messages lost, only hosts that received the announcement
+            // themselves are sure to know it.
             let is_late = |(at_ms, host): &&(u64, usize)| match fault {
                 Fault::Lossy => of.stated_ms.get(host).is_some_and(|known_ms| at_ms > known_ms),
-                _ => *at_ms > first_ms + KNOWN_WITHIN_MS,
+                _ => *at_ms > first_ms + SPREAD_MS,
             };
             Some(of.arrivals.iter().filter(is_late).count())
         });
         let late: Vec<usize> = late.collect();
-        assert!(!late.is_empty(), "none left");
+        assert!(!late.is_empty(), "no upstream was leaving");
         assert_eq!(late.iter().sum::<usize>(), 0, "{hosts} hosts, {fault:?}, seed {seed}");
     }
 }
