--- a/crates/dispatch/tests/quarantine.rs
+++ b/crates/dispatch/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! What is held against a request that upstreams crashed under, and what clears it.
+//! Which crashes count against a request, when it is held, and what clears it.
 #![allow(clippy::unwrap_used)]
 
 use dispatch::quarantine::{Admission, Crash, Quarantine, SuspectUpdate};
@@ -11,10 +11,10 @@
 
 const REQUEST: RequestFingerprint = RequestFingerprint(7);
 
-/// How long it is first held back.
+/// The first hold.
 const HOLD: Millis = Millis::from_secs(4 * 3_600);
 
-/// An upstream that got the request at one time and crashed at another.
+/// A crash of an upstream at `crashed_ms`, of a request that was sent at `sent_ms`.
 fn crash(upstream: &str, sent_ms: u64, crashed_ms: u64) -> Crash {
     Crash {
         upstream: upstream.parse().unwrap(),
@@ -33,8 +33,8 @@
     quarantine
 }
 
-/// Three crashes in a row, the last at 400 ms.
-fn three() -> Vec<Crash> {
+/// Three consecutive crashes, the last at 400 ms.
+fn three_crashes() -> Vec<Crash> {
     vec![crash("i-1", 0, 100), crash("i-2", 110, 200), crash("i-3", 300, 400)]
 }
 
@@ -42,59 +42,64 @@
 #[case::none(vec![], Admission::Free)]
 #[case::one(vec![crash("i-1", 0, 100)], Admission::Free)]
 #[case::two_in_a_row(vec![crash("i-1", 0, 100), crash("i-2", 100, 200)], Admission::Trial)]
-#[case::three_in_a_row(three(), Admission::Held { for_ms: HOLD - Millis(100) })]
+#[case::three_in_a_row(three_crashes(), Admission::Held { for_ms: HOLD - Millis(100) })]
 #[case::out_of_order(
     vec![crash("i-3", 300, 400), crash("i-1", 0, 100), crash("i-2", 110, 200)],
     Admission::Held { for_ms: HOLD - Millis(100) },
 )]
-// Copies of it were on upstreams that ended at the same moment.
-#[case::at_once(
+// Copies of it ran on upstreams that ended at the same moment.
+#[case::simultaneous(
     vec![crash("i-1", 0, 100), crash("i-2", 50, 100), crash("i-3", 99, 105)],
     Admission::Free,
 )]
-// It was sent on in the millisecond in which one upstream after the other ended.
-#[case::sent_on_meanwhile(
+// It was retried in the millisecond in which one upstream after the other ended.
+#[case::retried_meanwhile(
     vec![crash("i-1", 0, 100), crash("i-2", 100, 100), crash("i-3", 101, 102)],
     Admission::Free,
 )]
-// One end that three sendings saw, or that was told three times.
+// One end that three attempts saw, or that was reported three times.
 #[case::of_one_run(
     vec![crash("i-1", 0, 100), crash("i-1", 100, 103), crash("i-1", 300, 310)],
     Admission::Free,
 )]
-fn a_row_of_crashes_holds_it_back(#[case] crashes: Vec<Crash>, #[case] expected: Admission) {
+fn consecutive_crashes_hold_a_request(#[case] crashes: Vec<Crash>, #[case] expected: Admission) {
     assert_eq!(after(&crashes).admit(Millis(500), REQUEST), expected);
     assert_eq!(after(&crashes).admit(Millis(500), RequestFingerprint(8)), Admission::Free);
 }
 
-/// A process that doesn't tell its start counts again once it can be back.
+/// A crash of a process that doesn't report its start time counts again once the process may have
+/// restarted.
 #[rstest]
 #[case::too_soon(600, Admission::Free)]
 #[case::later(2_000, Admission::Trial)]
-fn a_run_without_a_start_may_crash_again(#[case] sent_ms: u64, #[case] expected: Admission) {
+fn an_upstream_without_a_start_time_may_crash_again(
+    #[case] sent_ms: u64,
+    #[case] expected: Admission,
+) {
     let of_unknown_run =
         |sent_ms| Crash { run: RunStart::default(), ..crash("i-1", sent_ms, sent_ms + 50) };
     let quarantine = after(&[of_unknown_run(0), of_unknown_run(sent_ms)]);
     assert_eq!(quarantine.admit(Millis(3_000), REQUEST), expected);
 }
 
-/// One that ran to its end is no cause, whatever ended beside it, and also if that is told late.
+/// A request that completed is not the cause, whatever crashed beside it, and even if an update
+/// about it arrives late.
 #[test]
-fn an_answer_clears_it() {
-    let mut quarantine = after(&three());
-    let told = quarantine.take_pending(Millis(450)).unwrap();
+fn a_response_clears_it() {
+    let mut quarantine = after(&three_crashes());
+    let updates = quarantine.take_pending(Millis(450)).unwrap();
     assert!(quarantine.clear(Millis(460), REQUEST).is_some());
     assert_eq!(quarantine.admit(Millis(500), REQUEST), Admission::Free);
-    quarantine.merge(Millis(460), told);
+    quarantine.merge(Millis(460), updates);
     assert_eq!(quarantine.admit(Millis(500), REQUEST), Admission::Free);
     quarantine.record_crash(REQUEST, crash("i-4", 470, 490));
     assert_eq!(quarantine.admit(Millis(500), REQUEST), Admission::Free, "it begins anew");
 }
 
-/// Under suspicion it is at one upstream of the fleet at a time, until its time is over.
+/// A suspected request is on one upstream of the fleet at a time, until the trial's time is over.
 #[test]
-fn one_host_tries_it_at_a_time() {
-    let (mut own, mut other) = (after(&three()[..2]), Quarantine::default());
+fn one_host_at_a_time_tries_it() {
+    let (mut own, mut other) = (after(&three_crashes()[..2]), Quarantine::default());
     own.begin_trial(REQUEST, Millis(900));
     other.merge(Millis(300), own.take_pending(Millis(300)).unwrap());
     let wait = Admission::Wait { for_ms: Millis(500) };
@@ -107,54 +112,56 @@
 
 /// It may crash one more upstream in a day.
 #[test]
-fn each_further_crash_holds_it_back_for_longer() {
-    let mut quarantine = after(&three());
+fn each_further_crash_extends_the_hold() {
+    let mut quarantine = after(&three_crashes());
     let mut now_ms = Millis(400);
-    let mut tried = Vec::new();
+    let mut trials_s = Vec::new();
     let day_ms = Millis::from_secs(24 * 3_600);
     while now_ms < day_ms {
         now_ms = now_ms + Millis(1_000);
         quarantine.expire(now_ms);
         if quarantine.admit(now_ms, REQUEST) == Admission::Trial {
-            tried.push(now_ms.0 / 1_000);
+            trials_s.push(now_ms.0 / 1_000);
             let upstream = format!("i-{}", now_ms.0);
             quarantine.record_crash(REQUEST, crash(&upstream, now_ms.0, now_ms.0 + 50));
         }
     }
-    assert_eq!(tried, [14_400]);
+    assert_eq!(trials_s, [14_400]);
 }
 
-/// Where upstreams end one after the other by themselves, what many ask for may be on three.
+/// Where upstreams crash one after the other for another reason, three of them may run a request
+/// that many callers send.
 #[rstest]
 #[case::alone(0, HOLD)]
 #[case::beside_one(1, HOLD)]
 #[case::beside_many(5, Millis(30_000))]
-fn a_verdict_beside_many_like_it_is_soon_tried(#[case] others: u128, #[case] hold_ms: Millis) {
+fn a_request_among_many_suspects_is_held_briefly(#[case] others: u128, #[case] hold_ms: Millis) {
     let mut quarantine = Quarantine::default();
     for other in 0..others {
-        for crash in &three()[..2] {
+        for crash in &three_crashes()[..2] {
             quarantine.record_crash(RequestFingerprint(100 + other), crash.clone());
         }
     }
-    three().into_iter().for_each(|crash| drop(quarantine.record_crash(REQUEST, crash)));
+    three_crashes().into_iter().for_each(|crash| drop(quarantine.record_crash(REQUEST, crash)));
     let held = Admission::Held { for_ms: hold_ms - Millis(100) };
     assert_eq!(quarantine.admit(Millis(500), REQUEST), held);
 }
 
-/// Whatever is lost, doubled, late or out of order: who has heard it all holds the same.
+/// Hosts that received the same messages have the same state, even if some were duplicated, late
+/// or out of order.
 #[test]
 fn the_order_of_messages_does_not_matter() {
-    let told: Vec<Vec<SuspectUpdate>> = three()
+    let updates: Vec<Vec<SuspectUpdate>> = three_crashes()
         .into_iter()
         .map(|crash| {
-            let mut seen = after(&[crash]);
-            seen.record_final_answer(REQUEST);
-            seen.take_pending(Millis(500)).unwrap()
+            let mut host = after(&[crash]);
+            host.record_final_answer(REQUEST);
+            host.take_pending(Millis(500)).unwrap()
         })
         .collect();
     for seed in 0..50 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut messages: Vec<_> = told.iter().chain(&told).cloned().collect();
+        let mut messages: Vec<_> = updates.iter().chain(&updates).cloned().collect();
         messages.shuffle(&mut rng);
         let mut quarantine = Quarantine::default();
         for message in messages {
@@ -165,40 +172,40 @@
     }
 }
 
-/// A host that starts is told of crashes that are older than itself.
+/// A starting host receives updates about crashes before its start.
 #[test]
 fn crashes_before_the_start_count() {
-    let mut told = after(&three());
-    let told = told.take_pending(Millis(10_000)).unwrap();
+    let mut updates = after(&three_crashes());
+    let updates = updates.take_pending(Millis(10_000)).unwrap();
     let mut later = Quarantine::default();
-    later.merge(Millis(2), told.clone());
+    later.merge(Millis(2), updates.clone());
     let held = Admission::Held { for_ms: HOLD - Millis(9_600) };
     assert_eq!(later.admit(Millis(2), REQUEST), held);
     let mut twice = Quarantine::default();
-    let mut two = after(&three()[..2]);
+    let mut two = after(&three_crashes()[..2]);
     let two = two.take_pending(Millis(10_000)).unwrap();
     twice.merge(Millis(2), two.clone());
     twice.merge(Millis(3), two);
     assert_eq!(twice.admit(Millis(4), REQUEST), Admission::Trial);
 }
 
-/// Hosts that hold the same are not told, those that lack something are.
+/// Digests differ exactly where a host lacks something.
 #[test]
-fn what_a_host_missed_shows_in_the_digest() {
-    let mut knows = after(&three());
-    knows.take_pending(Millis(500));
+fn the_digest_shows_what_a_host_missed() {
+    let mut informed = after(&three_crashes());
+    informed.take_pending(Millis(500));
     let mut missed = Quarantine::default();
-    assert_ne!(knows.digest(), missed.digest());
-    missed.merge(Millis(600), knows.export(Millis(600)));
-    assert_eq!(knows.digest(), missed.digest());
+    assert_ne!(informed.digest(), missed.digest());
+    missed.merge(Millis(600), informed.export(Millis(600)));
+    assert_eq!(informed.digest(), missed.digest());
     assert_eq!(missed.count_held(Millis(600)), 1);
     missed.clear(Millis(700), REQUEST);
-    assert_ne!(knows.digest(), missed.digest());
+    assert_ne!(informed.digest(), missed.digest());
 }
 
-/// A first crash of what is answered elsewhere is told to nobody.
+/// The first crash of a request that another upstream serves is not broadcast.
 #[test]
-fn bystanders_are_not_told() {
+fn bystanders_are_not_broadcast() {
     let mut quarantine = after(&[crash("i-1", 0, 100)]);
     assert!(quarantine.take_pending(Millis(110)).is_none());
     assert_eq!(quarantine.digest(), Quarantine::default().digest());
@@ -210,22 +217,23 @@
     assert_eq!(quarantine.take_pending(Millis(110)).unwrap().len(), 1);
 }
 
-/// A first crash that was kept back is told once a peer accuses the same request.
+/// A first crash that was not broadcast counts, and is broadcast, once a peer reports the same
+/// request.
 #[test]
-fn what_was_kept_back_adds_up_with_what_a_peer_saw() {
-    let mut own = after(&three()[..1]);
+fn an_unsent_crash_adds_to_what_a_peer_saw() {
+    let mut own = after(&three_crashes()[..1]);
     assert!(own.take_pending(Millis(410)).is_none());
-    let mut peer = after(&three()[1..]);
+    let mut peer = after(&three_crashes()[1..]);
     own.merge(Millis(410), peer.take_pending(Millis(410)).unwrap());
     assert!(matches!(own.admit(Millis(420), REQUEST), Admission::Held { .. }));
     peer.merge(Millis(420), own.take_pending(Millis(420)).unwrap());
     assert!(matches!(peer.admit(Millis(430), REQUEST), Admission::Held { .. }));
 }
 
-/// Thousands of others that crash upstreams once don't push out what is held back.
+/// Thousands of requests with one crash each don't displace one that is held.
 #[test]
-fn memory_is_bounded_and_the_least_leaves_first() {
-    let mut quarantine = after(&three());
+fn memory_is_bounded_and_the_fewest_crashes_are_evicted_first() {
+    let mut quarantine = after(&three_crashes());
     for number in 0..20_000 {
         let other = RequestFingerprint(1_000 + number);
         let at_ms = 1_000 + u64::try_from(number).unwrap();
@@ -235,10 +243,10 @@
     assert!(matches!(quarantine.admit(Millis(22_000), REQUEST), Admission::Held { .. }));
 }
 
-/// Nothing is remembered for ever.
+/// Crashes expire.
 #[test]
-fn it_is_forgotten_in_the_end() {
-    let mut quarantine = after(&three()[..2]);
+fn crashes_expire() {
+    let mut quarantine = after(&three_crashes()[..2]);
     quarantine.expire(Millis::from_secs(3_000));
     assert_eq!(quarantine.admit(Millis::from_secs(3_000), REQUEST), Admission::Trial);
     quarantine.expire(Millis::from_secs(3_700));
