--- a/crates/gateway/src/placing.rs
+++ b/crates/gateway/src/placing.rs
@@ -145,7 +145,8 @@
     let (replies, mut received) = mpsc::unbounded_channel();
     host.placing.awaited.borrow_mut().insert(ticket, replies);
     let held = PlacementGuard::new(host, ticket, &scheduler);
-    let lends_rate_share = host.rate_limiter.borrow_mut().lend(host.now_ms(), &cell, &scheduler.host);
+    let lends_rate_share =
+        host.rate_limiter.borrow_mut().lend(host.now_ms(), &cell, &scheduler.host);
     let submission = Submission { lends_rate_share, ..submission(ticket, cell.clone()) };
     held.tell(PlacementMessage::Submit(submission));
     let mut longest = FIRST_REPLY;
--- a/crates/gateway/src/serve/settling.rs
+++ b/crates/gateway/src/serve/settling.rs
@@ -52,7 +52,8 @@
             max_attempts: self.route().attempts,
             left_ms: self.end_ms.since(now_ms),
             is_budget_spent: needs_repeat
-                && self.host.retry_budget.borrow().remaining(self.host.now_ms(), &self.service) < 1.0,
+                && self.host.retry_budget.borrow().remaining(self.host.now_ms(), &self.service)
+                    < 1.0,
         };
         match (attempts::next_step(state, ended.end), ended.answer) {
             (NextStep::Deliver, Some(answer)) => {
@@ -105,7 +106,11 @@
             after_ms: now_ms.since(ended.sent_ms),
             status: ended.answer.as_ref().map(|answer| answer.head.status),
             is_not_run: attempts::is_not_run(ended.end),
-            repeats_left: self.host.retry_budget.borrow().remaining(self.host.now_ms(), &self.service),
+            repeats_left: self
+                .host
+                .retry_budget
+                .borrow()
+                .remaining(self.host.now_ms(), &self.service),
             fingerprint: self.fingerprint(),
             has_crashed: ended.has_crashed,
         });
--- a/crates/listener/src/lib.rs
+++ b/crates/listener/src/lib.rs
@@ -120,8 +120,8 @@
 }
 
 /// Waits until the listener is to close, drops new connection attempts from then on, and
-/// returns once all established connections have been accepted: accepting one cancels this wait, and the next
-/// call to `accept` starts it again.
+/// returns once all established connections have been accepted: accepting one cancels this
+/// wait, and the next call to `accept` starts it again.
 async fn wait_for_handout(mut phase: watch::Receiver<Phase>, socket: &Socket) {
     // The sender lives as long as the listener, so the wait can't fail.
     let _ = phase.wait_for(|phase| *phase != Phase::Open).await;
