--- a/crates/gateway/src/event_log/event.rs
+++ b/crates/gateway/src/event_log/event.rs
@@ -50,7 +50,7 @@
     /// Something else is believed.
     Belief {
         #[serde(flatten)]
-        belief: &'a StateChange,
+        change: &'a StateChange,
         from: &'a str,
     },
     /// More changed at once than is told one by one.
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -1,10 +1,9 @@
-//! What the parts of the process share.
+//! The state that all parts of the process share.
 //!
-//! One thread runs everything, so cells take the place of locks. No borrow is held across
-//! an await.
+//! One thread runs everything, so cells replace locks. No borrow is held across an await.
 
-mod answers;
-mod rates;
+mod rate_limits;
+mod response_logging;
 
 use crate::dialect::Dialect;
 use crate::event_log::{EventLog, LogEvent};
@@ -30,82 +29,82 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{Notify, watch};
 
-/// Pause after a connection could not be accepted: out of descriptors, some close meanwhile.
+/// Pause after a failed accept: the process may be out of descriptors until some are closed.
 pub const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Changes of one message or reading that are logged one by one. A first picture of a thousand
-/// upstreams took a host of a tenth of a core 30 ms to log.
-const MOST_BELIEFS_TOLD: usize = 32;
+/// Most changes of one message or read that are logged one by one: logging a first snapshot of
+/// a thousand upstreams would block a small host.
+const MAX_LOGGED_CHANGES: usize = 32;
 
-/// The entry host.
+/// The state of this host.
 #[derive(Debug)]
 pub struct Host {
-    /// Marks on requests and answers.
+    /// Headers of requests and responses that have a meaning for the load balancer.
     pub dialect: Dialect,
     /// The process's clock.
     pub clock: Clock,
     /// Settings in force.
     pub settings: RefCell<Settings>,
-    /// What is believed to be published, and of the fleet.
+    /// The published state and the members of the fleet, as this host knows them.
     pub gossip: RefCell<Gossip>,
-    /// The routing in force, prepared.
+    /// The routing in force, prepared for lookups; none until it is known.
     pub table: RefCell<Option<Rc<RouteTable>>>,
-    /// What is known of upstreams.
+    /// The state of all upstreams.
     pub upstreams: RefCell<UpstreamSet>,
-    /// Repeats that this host may spend.
+    /// Limits the retries that this host sends.
     pub retry_budget: RefCell<RetryBudget>,
-    /// Health checks that this host may spend on its own requests.
+    /// Limits the probes for requests that no scheduler places.
     pub probe_budget: RefCell<ProbeBudget>,
-    /// Those that it may spend besides on upstreams of its availability zone.
+    /// Limits the probes for requests that go to an idle upstream in the local availability zone.
     pub zone_probe_budget: RefCell<ProbeBudget>,
-    /// What this host may send by itself to upstreams that take a rate from the whole fleet.
+    /// Limits what this host sends without a scheduler to upstreams that state a rate limit.
     pub rate_limiter: RefCell<LocalRateLimiter>,
-    /// Its part in scheduling.
+    /// This host's part in scheduling requests.
     pub placing: Placing,
-    /// Where split routes stand.
+    /// The state of routes that split their requests between services.
     pub split_table: RefCell<SplitTable>,
     /// Idle connections to upstreams.
     pub pool: RefCell<Pool>,
     /// Requests that crash upstreams.
     pub quarantine: RefCell<Quarantine>,
-    /// How often peers were asked after the start what is held against requests.
+    /// How often this host requested the quarantine from peers after its start.
     pub quarantine_requests_sent: Cell<u32>,
-    /// How often peers were asked after the start what upstreams said of the load that they bear.
+    /// How often this host requested upstreams' backpressure from peers after its start.
     pub backpressure_requests_sent: Cell<u32>,
-    /// Whether peers are to be told of that in a moment.
+    /// Whether a broadcast of upstreams' backpressure is scheduled.
     pub is_backpressure_broadcast_due: Cell<bool>,
-    /// Woken when something else is held against a request, or a trial ended.
+    /// Notified when the quarantine changed, or the trial of a quarantined request ended.
     pub quarantine_changed: Notify,
-    /// What upstreams say that nothing reads.
+    /// Headers of responses that nothing reads.
     pub unread_headers: RefCell<UnreadHeaderLog>,
-    /// Marks that are read, with values that make no sense.
+    /// Headers that are read, with malformed values.
     pub malformed_headers: RefCell<UnreadHeaderLog>,
-    /// Randomness.
+    /// Random numbers.
     pub rng: RefCell<Pcg64Mcg>,
     /// Structured logs.
     pub log: EventLog,
-    /// Counts.
+    /// Metrics.
     pub metrics: Metrics,
-    /// Woken when the picture changed or was confirmed.
+    /// Notified when the published state changed or was confirmed.
     pub state_updated: Notify,
-    /// Callers wait for the first routing, or did.
+    /// Whether callers wait for the first routing, or did.
     pub is_routing_awaited: Cell<bool>,
-    /// Requests without a final answer.
+    /// Number of requests without a final response.
     pub open_requests: Cell<usize>,
-    /// Callers' connections that are open.
+    /// Number of open connections of callers.
     pub open_caller_connections: Cell<usize>,
-    /// Large answers that are being given to peers.
+    /// Number of large replies that are being sent to peers.
     pub large_replies_in_progress: Cell<usize>,
-    /// Calls to the source so far.
+    /// Number of calls to the source so far.
     pub source_calls: Cell<u64>,
-    /// Turns true when the process is to stop.
+    /// True once the process is to stop.
     pub stopping: watch::Sender<bool>,
-    /// Turns true when callers' connections are to be closed as soon as they are idle.
+    /// True once callers' connections are to be closed as soon as they are idle.
     pub closing_idle: watch::Sender<bool>,
 }
 
 impl Host {
-    /// A host that knows its settings only.
+    /// A host that knows only its settings.
     pub fn new(
         settings: Settings,
         dialect: Dialect,
@@ -127,13 +126,13 @@
                 settings.availability_zone.clone(),
             )),
             retry_budget: RefCell::new(RetryBudget::new(settings.limits.retries, now_ms)),
-            probe_budget: RefCell::new(ProbeBudget::new(own_asks(&settings))),
-            zone_probe_budget: RefCell::new(ProbeBudget::new(neighbours_asks(&settings))),
+            probe_budget: RefCell::new(ProbeBudget::new(unscheduled_probes(&settings))),
+            zone_probe_budget: RefCell::new(ProbeBudget::new(local_zone_probes(&settings))),
             rate_limiter: RefCell::new(LocalRateLimiter::new(settings.host.clone())),
             placing: Placing::new(
                 socket,
                 settings.host.clone(),
-                ProbeBudget::new(schedulers_asks(&settings)),
+                ProbeBudget::new(scheduler_probes(&settings)),
                 seed,
             ),
             split_table: RefCell::default(),
@@ -160,22 +159,22 @@
         })
     }
 
-    /// The time.
+    /// The current time.
     pub fn now_ms(&self) -> Millis {
         self.clock.now()
     }
 
-    /// What is believed to be published.
+    /// The published state, as this host knows it.
     pub fn published_state(&self) -> Ref<'_, PublishedState> {
         Ref::map(self.gossip.borrow(), Gossip::published_state)
     }
 
-    /// Hosts heard of.
+    /// The hosts that this one knows.
     pub fn members(&self) -> Ref<'_, Members> {
         Ref::map(self.gossip.borrow(), Gossip::members)
     }
 
-    /// Age of the picture.
+    /// Age of the published state, as this host knows it.
     pub fn state_age_ms(&self) -> Option<Millis> {
         self.published_state().age_ms(self.now_ms())
     }
@@ -185,97 +184,99 @@
         *self.stopping.borrow()
     }
 
-    /// Whether callers may be sent here: the picture was read, and the process goes on.
+    /// Whether this host can serve callers: the routing is known, and the process is not stopping.
     pub fn is_ready(&self) -> bool {
         !self.is_stopping() && self.table.borrow().is_some()
     }
 
-    /// Whether only some upstreams are known: requests are served, but nothing is scheduled.
+    /// Whether only some upstreams are known: requests are served, but none is scheduled.
     pub fn is_partial(&self) -> bool {
         self.published_state().is_partial()
     }
 
-    /// Hosts that share the fleet's budgets.
+    /// Number of hosts that share the fleet's budgets.
     pub fn host_count(&self) -> u32 {
         self.members().count()
     }
 
-    /// Hosts that share health checks.
+    /// Numbers of hosts that share the probes of upstreams.
     pub fn fleet_size(&self) -> FleetSize {
         let members = self.members();
         FleetSize { hosts: members.count(), hosts_in_zone: members.count_in_zone() }
     }
 
-    /// Puts a changed picture to use, and tells operators.
-    pub fn apply_state_changes(&self, beliefs: &[StateChange], from: &str) {
-        for belief in beliefs.iter().take(MOST_BELIEFS_TOLD) {
-            self.log.write(&LogEvent::Belief { belief, from });
-            if let StateChange::ZoneEvacuated { zone, .. } = belief {
+    /// Logs changes of the published state, applies it, and notifies those that wait for it.
+    pub fn apply_state_changes(&self, changes: &[StateChange], from: &str) {
+        for change in changes.iter().take(MAX_LOGGED_CHANGES) {
+            self.log.write(&LogEvent::Belief { change, from });
+            if let StateChange::ZoneEvacuated { zone, .. } = change {
                 let upstreams = self.published_state().upstreams_in(zone);
                 self.log.write(&LogEvent::EvacuatedZone { zone, upstreams });
             }
         }
-        if let Some(rest) = beliefs.get(MOST_BELIEFS_TOLD..).filter(|rest| !rest.is_empty()) {
-            let count_of =
-                |is_it: fn(&StateChange) -> bool| rest.iter().filter(|b| is_it(b)).count();
+        if let Some(rest) = changes.get(MAX_LOGGED_CHANGES..).filter(|rest| !rest.is_empty()) {
+            let count_of = |matches: fn(&StateChange) -> bool| {
+                rest.iter().filter(|change| matches(change)).count()
+            };
             self.log.write(&LogEvent::MoreBeliefs {
                 count: rest.len(),
-                joined: count_of(|belief| matches!(belief, StateChange::UpstreamJoined { .. })),
-                gone: count_of(|belief| matches!(belief, StateChange::UpstreamGone { .. })),
+                joined: count_of(|change| matches!(change, StateChange::UpstreamJoined { .. })),
+                gone: count_of(|change| matches!(change, StateChange::UpstreamGone { .. })),
                 from,
             });
         }
-        if !beliefs.is_empty() {
-            self.adopt();
+        if !changes.is_empty() {
+            self.apply_published_state();
         }
         self.state_updated.notify_waiters();
     }
 
-    /// Takes another settings file into force; addresses stay those of the start.
+    /// Applies reloaded settings: limits and seeds. The rest stays as at the start.
     pub fn reload(&self, settings: Settings) {
-        let mut held = self.settings.borrow_mut();
-        let is_changed = *held != settings;
+        let mut current = self.settings.borrow_mut();
+        let is_changed = *current != settings;
         self.retry_budget.borrow_mut().set_allowed(settings.limits.retries);
-        self.probe_budget.borrow_mut().set_allowed(own_asks(&settings));
-        self.zone_probe_budget.borrow_mut().set_allowed(neighbours_asks(&settings));
-        self.placing.asks.borrow_mut().set_allowed(schedulers_asks(&settings));
-        held.limits = settings.limits;
-        held.seeds = settings.seeds;
-        drop(held);
+        self.probe_budget.borrow_mut().set_allowed(unscheduled_probes(&settings));
+        self.zone_probe_budget.borrow_mut().set_allowed(local_zone_probes(&settings));
+        self.placing.asks.borrow_mut().set_allowed(scheduler_probes(&settings));
+        current.limits = settings.limits;
+        current.seeds = settings.seeds;
+        drop(current);
         self.log.write(&LogEvent::Reloaded { changed: is_changed });
     }
 
-    /// The process is awake: budgets save nothing up for the time in which it wasn't.
+    /// Records that the process runs, so that probe budgets accrue nothing while it is suspended.
     pub fn record_awake(&self) {
         let now_ms = self.now_ms();
-        for asks in [&self.probe_budget, &self.zone_probe_budget, &self.placing.asks] {
-            asks.borrow_mut().record_awake(now_ms);
+        for budget in [&self.probe_budget, &self.zone_probe_budget, &self.placing.asks] {
+            budget.borrow_mut().record_awake(now_ms);
         }
     }
 
-    /// Closes idle connections that are of no use any more.
+    /// Closes idle connections that have aged, whose upstream is gone or restarted, or that exceed
+    /// this host's limit.
     pub fn prune_connections(&self) {
-        let picture = self.published_state();
+        let state = self.published_state();
         let table = self.table.borrow();
         let hosts = self.host_count();
-        let most = |service: &ServiceName| {
+        let max_idle = |service: &ServiceName| {
             let settings = table.as_ref().and_then(|table| table.service(service));
             settings.map_or(MAX_IDLE_CONNECTIONS, |settings| {
                 idle_connections_per_host(settings.max_connections, hosts)
             })
         };
         self.pool.borrow_mut().prune(|id| {
-            let upstream = &picture.upstream(id)?.value;
-            Some(Kept { run: upstream.run, most: most(&upstream.service) })
+            let upstream = &state.upstream(id)?.value;
+            Some(Kept { run: upstream.run, most: max_idle(&upstream.service) })
         });
     }
 
-    fn adopt(&self) {
-        let picture = self.published_state();
+    fn apply_published_state(&self) {
+        let state = self.published_state();
         let now_ms = self.now_ms();
-        let evacuations = picture.evacuations();
-        self.upstreams.borrow_mut().sync(now_ms, picture.upstreams(), evacuations);
-        let is_known = |id: &UpstreamId| picture.upstream(id).is_some();
+        let evacuations = state.evacuations();
+        self.upstreams.borrow_mut().sync(now_ms, state.upstreams(), evacuations);
+        let is_known = |id: &UpstreamId| state.upstream(id).is_some();
         self.prune_connections();
         self.probe_budget.borrow_mut().retain(is_known);
         self.zone_probe_budget.borrow_mut().retain(is_known);
@@ -283,38 +284,38 @@
         self.rate_limiter.borrow_mut().retain(now_ms, is_known);
         self.unread_headers.borrow_mut().retain(is_known);
         self.malformed_headers.borrow_mut().retain(is_known);
-        let Some(entry) = picture.routing() else { return };
+        let Some(entry) = state.routing() else { return };
         self.upstreams.borrow_mut().set_cold_rates(entry.value.services.iter());
         let mut table = self.table.borrow_mut();
-        let held = table.as_ref().map(|table| table.routing().version);
-        if held == Some(entry.value.version) {
+        let current = table.as_ref().map(|table| table.routing().version);
+        if current == Some(entry.value.version) {
             return;
         }
-        if held.is_none() {
+        if current.is_none() {
             self.log.write(&LogEvent::Ready { is_ready: true, reason: "routing is known" });
         }
         *table = Some(Rc::new(RouteTable::new(std::sync::Arc::clone(&entry.value))));
-        let names = |name: &str| entry.value.routes.iter().any(|route| route.name == name);
-        self.split_table.borrow_mut().retain(names);
+        let has_route = |name: &str| entry.value.routes.iter().any(|route| route.name == name);
+        self.split_table.borrow_mut().retain(has_route);
     }
 }
 
-/// Health checks for requests that nobody schedules.
-fn own_asks(settings: &Settings) -> PerSecond {
+/// Rate of probes for requests that no scheduler places.
+fn unscheduled_probes(settings: &Settings) -> PerSecond {
     PerSecond(settings.limits.probes.0 * (1.0 - SCHEDULER_PROBE_SHARE - LOCAL_ZONE_PROBE_SHARE))
 }
 
-/// Health checks for requests that go to an idle upstream of the own availability zone.
-fn neighbours_asks(settings: &Settings) -> PerSecond {
+/// Rate of probes for requests that go to an idle upstream in the local availability zone.
+fn local_zone_probes(settings: &Settings) -> PerSecond {
     PerSecond(settings.limits.probes.0 * LOCAL_ZONE_PROBE_SHARE)
 }
 
-/// Health checks for requests that this host schedules.
-fn schedulers_asks(settings: &Settings) -> PerSecond {
+/// Rate of probes for requests that this host schedules.
+fn scheduler_probes(settings: &Settings) -> PerSecond {
     PerSecond(settings.limits.probes.0 * SCHEDULER_PROBE_SHARE)
 }
 
-/// A span of the clock type as the runtime's.
+/// Converts to the standard library's type.
 pub fn to_duration(span_ms: Millis) -> Duration {
     Duration::from_millis(span_ms.0)
 }
--- a/crates/gateway/src/host/rates.rs
+++ b/crates/gateway/src/host/rate_limits.rs
@@ -1,12 +1,13 @@
-//! What this host may send by itself to upstreams that take less than what comes.
+//! What this host may send, without a scheduler, to upstreams that state a rate limit or ask
+//! for a pause.
 
 use super::Host;
 use dispatch::{FleetSize, UpstreamSet, assumed_fleet};
 use domain::{ServiceName, UpstreamId};
 
 impl Host {
-    /// Whether this host may send a request by itself to an upstream, which may take a rate only, or
-    /// have asked it to back off.
+    /// Whether the rate limit and the backoff of an upstream, if it stated any, allow this host to
+    /// send it an unscheduled request now.
     pub fn may_send(&self, upstreams: &UpstreamSet, id: &UpstreamId) -> bool {
         self.rate_limiter.borrow().may_send(
             self.now_ms(),
@@ -16,7 +17,7 @@
         )
     }
 
-    /// Upstreams of a service that get nothing from this host by itself for now.
+    /// The upstreams of a service to which this host may not send unscheduled requests now.
     pub fn rate_limited_upstreams(
         &self,
         upstreams: &UpstreamSet,
@@ -30,13 +31,13 @@
         )
     }
 
-    /// This host sends a request by itself to an upstream, which may take a rate only.
+    /// Counts an unscheduled request against the upstream's rate limit, if it stated one.
     pub fn record_rated_send(&self, id: &UpstreamId) {
         let (now_ms, hosts) = (self.now_ms(), self.fleet_sharing_rates().hosts);
         self.rate_limiter.borrow_mut().record_sent(now_ms, &self.upstreams.borrow(), id, hosts);
     }
 
-    /// Hosts that share what the fleet may send to an upstream.
+    /// Size of the fleet that shares the rate limit of an upstream.
     pub fn fleet_sharing_rates(&self) -> FleetSize {
         assumed_fleet(self.fleet_size(), self.now_ms())
     }
