--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,8 +1,8 @@
 //! Start, reload and stop of the process.
 //!
-//! A stop is graceful: readiness fails first, requests are taken until the platform had
-//! time to notice, then idle connections are closed, and the process ends when no request
-//! is open, or just before it would be killed.
+//! A stop is graceful: readiness fails first, and requests are accepted until the platform had
+//! time to notice. Then idle connections are closed, and the process ends when no request is
+//! open, or just before it would be killed.
 
 use crate::backpressure;
 use crate::dialect::Dialect;
@@ -31,27 +31,27 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::spawn_local;
 
-/// Time for the platform to notice that readiness failed: two checks a second apart, and
-/// the way.
-const NOTICE: Duration = Duration::from_millis(2_300);
+/// Time for the platform to notice that readiness failed: two checks a second apart, and the
+/// network latency.
+const READINESS_NOTICE: Duration = Duration::from_millis(2_300);
 
-/// Before the process would be killed, it ends by itself.
+/// Time before the kill at which the process ends by itself.
 const STOP_MARGIN_MS: Millis = Millis(350);
 
-/// Time between two looks at whether a stop is done.
-const STOP_STEP: Duration = Duration::from_millis(10);
+/// Time between two checks whether a stop can be completed.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Callers that wait to be accepted; a second's worth of new connections of a busy host.
+/// Most connections that wait to be accepted: a second's worth on a busy host.
 const BACKLOG: u32 = 1_024;
 
-/// Time between two looks at what is due only now and then.
-const CHORES: Duration = Duration::from_millis(500);
+/// Time between two rounds of maintenance.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The process stood still if a chore is late by this.
-const PAUSED_MS: Millis = Millis(500);
+/// The process was suspended if a round of maintenance is late by more than this.
+const MAX_DELAY_MS: Millis = Millis(500);
 
-/// Chores between two looks at whether the settings changed without a signal.
-const LOOKS_AT_SETTINGS: u32 = 2;
+/// Rounds of maintenance between two checks whether the settings changed without a signal.
+const SETTINGS_CHECK_ROUNDS: u32 = 2;
 
 /// Why the process could not start.
 #[derive(Debug)]
@@ -75,23 +75,23 @@
 
 impl std::error::Error for StartError {}
 
-/// Reads the settings again.
+/// Reloads the settings.
 pub trait Reload: 'static {
-    /// The settings, if they changed since the last look; an error names the remedy.
+    /// Returns the settings if they changed since the last call, or if the reload was requested.
+    /// An error names the remedy.
     fn load_if_changed(&mut self, is_requested: bool) -> Result<Option<Settings>, String>;
 }
 
-/// An entry host that serves.
+/// A running host.
 #[derive(Debug)]
 pub struct Gateway {
     host: Rc<Host>,
     peers: Rc<Peers>,
 }
 
-/// Signals that the process listens for.
+/// The signals that the process handles.
 ///
-/// Listening begins before anything else: a hangup that meets a process without a handler
-/// ends it.
+/// Their handlers are installed before anything else: a hangup ends a process without one.
 #[derive(Debug)]
 pub struct Signals {
     terminate: Signal,
@@ -100,7 +100,7 @@
 }
 
 impl Signals {
-    /// Begins to listen.
+    /// Installs the handlers.
     pub fn listen() -> Result<Signals, Report<StartError>> {
         Ok(Signals {
             _hangup: listen_for(SignalKind::hangup())?,
@@ -109,8 +109,8 @@
         })
     }
 
-    /// Waits until the process is told to stop.
-    async fn stop(&mut self) {
+    /// Waits for a signal to stop.
+    async fn wait_for_stop(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
             _ = self.interrupt.recv() => {}
@@ -118,7 +118,7 @@
     }
 }
 
-/// Runs the process until it is told to stop.
+/// Runs the process until a signal to stop.
 pub async fn run<S: Source, R: Reload>(
     mut signals: Signals,
     settings: Settings,
@@ -128,7 +128,7 @@
     log: EventLog,
 ) -> Result<(), Report<StartError>> {
     let gateway = Gateway::start(settings, dialect, source, reload, log).await?;
-    signals.stop().await;
+    signals.wait_for_stop().await;
     gateway.stop().await;
     Ok(())
 }
@@ -138,7 +138,7 @@
 }
 
 impl Gateway {
-    /// Begins to serve, on the thread's own set of tasks.
+    /// Starts to serve, as local tasks of this thread.
     pub async fn start<S: Source, R: Reload>(
         settings: Settings,
         dialect: Dialect,
@@ -174,7 +174,7 @@
         let peers = Peers::new(Rc::clone(&host), datagrams);
         let rng = Pcg64Mcg::seed_from_u64(seed.wrapping_add(1));
         let reader = Reader::new(rng, host.now_ms(), start);
-        let readings = SourceReader::new(Rc::clone(&host), Rc::clone(&peers), source, reader);
+        let source_reader = SourceReader::new(Rc::clone(&host), Rc::clone(&peers), source, reader);
         spawn_local(ingress::accept(Rc::clone(&host), listeners.callers));
         let platform = operator::listen(Rc::clone(&host), listeners.readiness, Audience::Platform);
         spawn_local(platform);
@@ -193,17 +193,17 @@
         }
         spawn_local(clock::watch_for_suspension());
         spawn_local(Rc::clone(&peers).receive());
-        spawn_local(Rc::clone(&peers).serve_fetches(listeners.pictures));
+        spawn_local(Rc::clone(&peers).serve_fetches(listeners.fetches));
         spawn_local(Rc::clone(&peers).send_hello());
-        spawn_local(readings.run());
+        spawn_local(source_reader.run());
         spawn_local(placing::run(Rc::clone(&host)));
-        spawn_local(chores(Rc::clone(&host), Rc::clone(&peers), reload, hangup));
+        spawn_local(maintain(Rc::clone(&host), Rc::clone(&peers), reload, hangup));
         let flushing = Rc::clone(&host);
         spawn_local(async move { flushing.log.run().await });
         Ok(Gateway { host, peers })
     }
 
-    /// What its parts share.
+    /// The state that its parts share.
     pub fn host(&self) -> &Rc<Host> {
         &self.host
     }
@@ -226,7 +226,7 @@
 }
 
 async fn stop(host: &Rc<Host>, peers: &Rc<Peers>) {
-    let begun_ms = host.now_ms();
+    let start_ms = host.now_ms();
     let limit_ms = host.settings.borrow().limits.stop_ms - STOP_MARGIN_MS;
     let open_requests = host.open_requests.get();
     host.log.write(&LogEvent::Stopping { open_requests });
@@ -234,34 +234,34 @@
     host.stopping.send_replace(true);
     peers.run_gossip(Gossip::leave);
     host.placing.schedulers.borrow_mut().stop_accepting();
-    clock::sleep(NOTICE.min(to_duration(limit_ms))).await;
+    clock::sleep(READINESS_NOTICE.min(to_duration(limit_ms))).await;
     host.closing_idle.send_replace(true);
     let is_busy = || host.open_requests.get() > 0 || host.open_caller_connections.get() > 0;
-    while is_busy() && host.now_ms().since(begun_ms) < limit_ms {
-        clock::sleep(STOP_STEP).await;
+    while is_busy() && host.now_ms().since(start_ms) < limit_ms {
+        clock::sleep(STOP_CHECK_INTERVAL).await;
     }
-    // Nothing is awaited from here on, so no request can be read that nobody would answer.
+    // There is no await from here on, so no request can be read that would get no response.
     host.log.write(&LogEvent::Stopped { open_requests: host.open_requests.get() });
     host.log.flush();
 }
 
-/// What is due now and then: settings, lapsed entries, forgotten peers, idle connections.
-async fn chores<R: Reload>(host: Rc<Host>, peers: Rc<Peers>, mut reload: R, mut hangup: Signal) {
+/// Runs periodic maintenance: settings, expired entries, silent peers, idle connections.
+async fn maintain<R: Reload>(host: Rc<Host>, peers: Rc<Peers>, mut reload: R, mut hangup: Signal) {
     let mut round: u32 = 0;
-    // A machine that is suspended right after the start is known to have been awake before.
+    // A first record, so that a suspension right after the start is detected.
     host.record_awake();
     peers.run_gossip(|gossip| gossip.expire(host.now_ms()));
     loop {
-        let begun_ms = host.now_ms();
+        let start_ms = host.now_ms();
         let is_requested = tokio::select! {
-            told = hangup.recv() => told.is_some(),
-            () = clock::sleep(CHORES) => false,
+            signal = hangup.recv() => signal.is_some(),
+            () = clock::sleep(MAINTENANCE_INTERVAL) => false,
         };
         let now_ms = host.now_ms();
-        note_pause(&host, now_ms.since(begun_ms));
+        recover_from_suspension(&host, now_ms.since(start_ms));
         host.record_awake();
         round = round.wrapping_add(1);
-        if is_requested || round.is_multiple_of(LOOKS_AT_SETTINGS) {
+        if is_requested || round.is_multiple_of(SETTINGS_CHECK_ROUNDS) {
             match reload.load_if_changed(is_requested) {
                 Ok(Some(settings)) => host.reload(settings),
                 Ok(None) => {}
@@ -279,9 +279,10 @@
     }
 }
 
-fn note_pause(host: &Host, took_ms: Millis) {
-    let late_ms = took_ms.since(Millis(CHORES.as_millis() as u64));
-    if late_ms > PAUSED_MS {
+/// If the process was suspended, requests from peers what this host missed.
+fn recover_from_suspension(host: &Host, took_ms: Millis) {
+    let late_ms = took_ms.since(Millis(MAINTENANCE_INTERVAL.as_millis() as u64));
+    if late_ms > MAX_DELAY_MS {
         host.log.write(&LogEvent::Paused { for_ms: late_ms });
         quarantine::ask_peers(host);
         backpressure::ask_peers(host);
@@ -293,7 +294,7 @@
     readiness: TcpListener,
     operator: Option<TcpListener>,
     metrics: Option<Result<TcpListener, Report<StartError>>>,
-    pictures: TcpListener,
+    fetches: TcpListener,
     datagrams: UdpSocket,
 }
 
@@ -304,9 +305,9 @@
             callers: listen(settings.callers)?,
             readiness: listen(settings.readiness)?,
             operator: settings.operator.map(listen).transpose()?,
-            pictures: listen(settings.peers)?,
+            fetches: listen(settings.peers)?,
             datagrams: datagrams.change_context(StartError::Listen(settings.peers))?,
-            // Last: it must not take an address that is needed.
+            // Last, as it is optional and must not take an address that another listener needs.
             metrics: settings.metrics.map(listen),
         })
     }
