--- a/crates/gateway/src/source_reader.rs
+++ b/crates/gateway/src/source_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the source when it is this host's turn, and tells the peers.
+//! Reads the source when it is this host's turn, and sends what it read to the peers.
 
 use crate::event_log::LogEvent;
 use crate::host::Host;
@@ -9,50 +9,51 @@
 use rand::RngExt;
 use std::rc::Rc;
 
-/// How often it is looked whether the picture has come.
-const OFFER_STEP_MS: Millis = Millis(25);
+/// Time between two checks whether a promised snapshot has arrived from a peer.
+const BOOTSTRAP_CHECK_MS: Millis = Millis(25);
 
-/// Values of one reading that are logged one by one where they can't be read: a writer that
-/// goes wrong writes thousands, and the first few tell how.
-const MOST_UNREADABLE_TOLD: usize = 8;
+/// Most unreadable values of one read that are logged one by one: a faulty writer writes
+/// thousands, and the first few show the fault.
+const MAX_LOGGED_UNREADABLE: usize = 8;
 
-/// A host's reading.
+/// Reads the source for this host, and for the fleet where it is this host's turn.
 pub struct SourceReader<S> {
     host: Rc<Host>,
     peers: Rc<Peers>,
     source: S,
     reader: Reader,
-    /// The beginning of a whole reading, whose rest may come from a peer.
-    begun: Option<ReadResult<Page>>,
+    /// The first page of a full read, whose rest may come from a peer.
+    first_page: Option<ReadResult<Page>>,
     was_reading: bool,
-    was_held: bool,
-    lost_ms: Option<Millis>,
+    had_outage: bool,
+    /// When the source was lost, until this host or a peer reads it again.
+    lost_at_ms: Option<Millis>,
 }
 
 impl<S: Source> SourceReader<S> {
-    /// Reads by the rules of `reader`.
+    /// A reader of `source`, which reads as `reader` decides.
     pub fn new(host: Rc<Host>, peers: Rc<Peers>, source: S, reader: Reader) -> SourceReader<S> {
         SourceReader {
             host,
             peers,
             source,
             reader,
-            begun: None,
+            first_page: None,
             was_reading: false,
-            was_held: false,
-            lost_ms: None,
+            had_outage: false,
+            lost_at_ms: None,
         }
     }
 
-    /// Reads whenever it is due; never ends.
+    /// Reads the source whenever a read is due. Never returns.
     pub async fn run(mut self) {
         loop {
             if self.host.gossip.borrow().is_bootstrap_pending(self.host.now_ms()) {
-                self.wait_until(self.host.now_ms() + OFFER_STEP_MS).await;
+                self.wait_until(self.host.now_ms() + BOOTSTRAP_CHECK_MS).await;
                 continue;
             }
             if self.host.published_state().confirmed_ms().is_some() {
-                self.begun = None;
+                self.first_page = None;
             }
             let step = {
                 let gossip = self.host.gossip.borrow();
@@ -64,9 +65,9 @@
                     is_wanted,
                 )
             };
-            self.note_part();
-            self.note_hold();
-            self.note_told();
+            self.log_role_change();
+            self.log_outage();
+            self.log_recovery_by_peer();
             match step {
                 ReadStep::Wait(until_ms) => self.wait_until(until_ms).await,
                 ReadStep::Sample => self.read_sample().await,
@@ -85,7 +86,8 @@
         }
     }
 
-    fn note_part(&mut self) {
+    /// Logs that this host starts or stops to read for the fleet.
+    fn log_role_change(&mut self) {
         let is_reading = self.reader.is_reading();
         if std::mem::replace(&mut self.was_reading, is_reading) != is_reading {
             let rank = self.host.members().reader_rank();
@@ -94,11 +96,11 @@
         }
     }
 
-    /// Others could not read either: this host leaves the source alone for a while.
-    fn note_hold(&mut self) {
-        let held_until_ms = self.reader.outage_retry_ms();
-        let was_held = std::mem::replace(&mut self.was_held, held_until_ms.is_some());
-        if let Some(until_ms) = held_until_ms.filter(|_| !was_held) {
+    /// Logs the start of an outage: other hosts failed to read too, so this one backs off.
+    fn log_outage(&mut self) {
+        let retry_ms = self.reader.outage_retry_ms();
+        let had_outage = std::mem::replace(&mut self.had_outage, retry_ms.is_some());
+        if let Some(until_ms) = retry_ms.filter(|_| !had_outage) {
             let now_ms = self.host.now_ms();
             self.host.log.write(&LogEvent::ReadingHeld {
                 failed_readers: self.host.members().failed_readers(now_ms),
@@ -108,112 +110,116 @@
         }
     }
 
-    /// Some kilobytes to begin with; where a service has no upstream among them, one call more.
+    /// Reads a sample of some kilobytes, to serve early. If it has no upstream of some service,
+    /// another call follows.
     async fn read_sample(&mut self) {
         let draw = self.host.rng.borrow_mut().random();
         match self.source.read_sample(draw).await {
             Ok(ReadResult { value, unreadable }) => {
                 let now_ms = self.host.now_ms();
-                self.note_unreadable(&unreadable);
+                self.log_unreadable(&unreadable);
                 let is_enough = published::covers_services(&value);
                 self.peers.run_gossip(|gossip| gossip.apply_partial_items(now_ms, value));
                 self.reader.sample_succeeded(is_enough);
             }
-            Err(error) => self.note_failure(&error),
+            Err(error) => self.handle_failure(&error),
         }
     }
 
-    /// One call: all of a small source, and of a large one enough to serve until a peer tells
-    /// the rest.
+    /// Reads the first page: everything of a small source; of a large one enough to serve until
+    /// the rest arrives from a peer.
     async fn read_first_page(&mut self) {
         self.host.gossip.borrow_mut().set_initial_read(true);
         match self.source.read_first_page().await {
             Ok(ReadResult { value: Page { values, next: None }, unreadable }) => {
-                self.take_whole(ReadResult { value: values, unreadable });
+                self.apply_snapshot(ReadResult { value: values, unreadable });
             }
-            Ok(begun) => {
+            Ok(page) => {
                 let now_ms = self.host.now_ms();
-                let items = begun.value.values.items.clone();
+                let items = page.value.values.items.clone();
                 self.peers.run_gossip(|gossip| gossip.apply_partial_items(now_ms, items));
                 let reads_on = self.reader.first_page_succeeded();
                 self.host.gossip.borrow_mut().set_initial_read(reads_on);
-                self.begun = Some(begun);
+                self.first_page = Some(page);
             }
-            Err(error) => self.note_failure(&error),
+            Err(error) => self.handle_failure(&error),
         }
     }
 
     async fn read_all(&mut self) {
         self.host.gossip.borrow_mut().set_initial_read(true);
-        let reading = match self.begun.take() {
-            Some(begun) => self.source.read_remaining_pages(begun).await,
+        let read = match self.first_page.take() {
+            Some(page) => self.source.read_remaining_pages(page).await,
             None => self.source.read_all().await,
         };
-        match reading {
-            Ok(reading) => self.take_whole(reading),
-            Err(error) => self.note_failure(&error),
+        match read {
+            Ok(read) => self.apply_snapshot(read),
+            Err(error) => self.handle_failure(&error),
         }
     }
 
-    fn take_whole(&mut self, reading: ReadResult<Snapshot>) {
+    fn apply_snapshot(&mut self, read: ReadResult<Snapshot>) {
         let now_ms = self.host.now_ms();
-        self.note_unreadable(&reading.unreadable);
-        self.note_success(now_ms, reading.value.revision);
-        self.peers.run_gossip(|gossip| gossip.apply_snapshot(now_ms, reading.value));
+        self.log_unreadable(&read.unreadable);
+        self.log_recovery(now_ms, read.value.revision);
+        self.peers.run_gossip(|gossip| gossip.apply_snapshot(now_ms, read.value));
         self.reader.succeeded(now_ms, true);
     }
 
     async fn read_changes(&mut self, wait_ms: Millis) {
         let after = self.host.published_state().revision();
         match self.source.read_changes(after, wait_ms).await {
-            Ok(reading) => self.take_changes(after, reading),
-            Err(error) => self.note_failure(&error),
+            Ok(read) => self.apply_changes(after, read),
+            Err(error) => self.handle_failure(&error),
         }
     }
 
-    fn take_changes(&mut self, after: Revision, reading: ReadResult<Changes>) {
+    fn apply_changes(&mut self, after: Revision, read: ReadResult<Changes>) {
         let now_ms = self.host.now_ms();
-        self.note_unreadable(&reading.unreadable);
-        let Changes { revision, changes } = reading.value;
-        self.note_success(now_ms, revision);
+        self.log_unreadable(&read.unreadable);
+        let Changes { revision, changes } = read.value;
+        self.log_recovery(now_ms, revision);
         self.reader.succeeded(now_ms, !changes.is_empty());
         self.peers.run_gossip(|gossip| gossip.apply_changes(now_ms, after, revision, &changes));
     }
 
-    fn note_unreadable(&self, unreadable: &[UnreadableValue]) {
+    fn log_unreadable(&self, unreadable: &[UnreadableValue]) {
         for UnreadableValue { key, revision, problem } in
-            unreadable.iter().take(MOST_UNREADABLE_TOLD)
+            unreadable.iter().take(MAX_LOGGED_UNREADABLE)
         {
             self.host.log.write(&LogEvent::Unreadable { key, revision: *revision, problem });
         }
-        let count = unreadable.len().saturating_sub(MOST_UNREADABLE_TOLD);
+        let count = unreadable.len().saturating_sub(MAX_LOGGED_UNREADABLE);
         if count > 0 {
             self.host.log.write(&LogEvent::MoreUnreadable { count });
         }
     }
 
-    fn note_success(&mut self, now_ms: Millis, revision: Revision) {
-        if let Some(lost_ms) = self.lost_ms.take() {
-            let after_ms = now_ms.since(lost_ms);
+    /// Logs that this host reads the source again.
+    fn log_recovery(&mut self, now_ms: Millis, revision: Revision) {
+        if let Some(lost_at_ms) = self.lost_at_ms.take() {
+            let after_ms = now_ms.since(lost_at_ms);
             self.host.log.write(&LogEvent::SourceRegained { after_ms, revision, by: "itself" });
         }
     }
 
-    /// A peer read what this host could not: what is believed is confirmed again.
-    fn note_told(&mut self) {
+    /// Logs that a peer read the source, which confirms the published state again.
+    fn log_recovery_by_peer(&mut self) {
         let (confirmed_ms, revision) = {
-            let picture = self.host.published_state();
-            (picture.confirmed_ms(), picture.revision())
+            let state = self.host.published_state();
+            (state.confirmed_ms(), state.revision())
         };
-        let Some(lost_ms) = self.lost_ms.filter(|&lost_ms| confirmed_ms > Some(lost_ms)) else {
+        let Some(lost_at_ms) =
+            self.lost_at_ms.filter(|&lost_at_ms| confirmed_ms > Some(lost_at_ms))
+        else {
             return;
         };
-        self.lost_ms = None;
-        let after_ms = self.host.now_ms().since(lost_ms);
+        self.lost_at_ms = None;
+        let after_ms = self.host.now_ms().since(lost_at_ms);
         self.host.log.write(&LogEvent::SourceRegained { after_ms, revision, by: "a peer" });
     }
 
-    fn note_failure(&mut self, error: &SourceError) {
+    fn handle_failure(&mut self, error: &SourceError) {
         let now_ms = self.host.now_ms();
         if *error == SourceError::HistoryGone {
             self.reader.require_snapshot();
@@ -221,8 +227,8 @@
         }
         self.reader.failed(now_ms);
         self.peers.run_gossip(|gossip| gossip.broadcast_read_failure(now_ms));
-        if self.lost_ms.is_none() {
-            self.lost_ms = Some(now_ms);
+        if self.lost_at_ms.is_none() {
+            self.lost_at_ms = Some(now_ms);
             let picture_age_ms = self.host.state_age_ms();
             let problem = error.to_string();
             self.host.log.write(&LogEvent::SourceLost { problem, picture_age_ms });
