--- a/crates/gateway/src/source.rs
+++ b/crates/gateway/src/source.rs
@@ -1,4 +1,4 @@
-//! The source of what is published.
+//! The interface to the source, where routing, upstreams and evacuations are published.
 
 use domain::Millis;
 use published::{Change, Entry, Item, Revision, Snapshot};
@@ -7,46 +7,46 @@
 /// Changes after a revision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Changes {
-    /// No change up to here is missing.
+    /// The changes are complete up to this revision.
     pub revision: Revision,
-    /// In order.
+    /// The changes, in order.
     pub changes: Vec<Change>,
 }
 
-/// A published value that can't be read. The last good routing stays in force; what stood in
-/// the place of an upstream's entry names no upstream, and is told as its removal besides.
+/// A published value that can't be parsed. The last good routing stays in force; an upstream
+/// whose entry was overwritten by such a value is reported as removed, too.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnreadableValue {
     /// Its key.
     pub key: String,
     /// Its revision.
     pub revision: Revision,
-    /// What is wrong, and the remedy.
+    /// The problem and its remedy.
     pub problem: String,
 }
 
-/// What a reading brought.
+/// The result of a read.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReadResult<T> {
-    /// What could be read.
+    /// What was parsed.
     pub value: T,
-    /// What could not.
+    /// The values that can't be parsed.
     pub unreadable: Vec<UnreadableValue>,
 }
 
-/// Why a reading failed.
+/// Why a read failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SourceError {
-    /// The changes asked for are not kept any more: read everything.
+    /// The source no longer has the requested changes: everything must be read.
     HistoryGone,
-    /// The source refused.
+    /// The source refused the request.
     Refused {
         /// HTTP status.
         status: u16,
     },
-    /// No answer in time, no connection, or a broken one.
+    /// No response in time, no connection, or a broken one.
     Unreachable(String),
-    /// The answer makes no sense.
+    /// The response is malformed.
     Malformed(String),
 }
 
@@ -67,42 +67,42 @@
     }
 }
 
-/// Where a page ends, for the call that reads on.
+/// Where a page ends: the token with which the next page is read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PageToken(pub String);
 
-/// What one call of a whole reading brought.
+/// The pages of a full read so far.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Page {
-    /// The values up to here. Its revision is that of the first page: pages are no snapshot, so
-    /// what changed meanwhile is told again after that.
+    /// The values of all pages so far, with the revision of the first: pages are not read
+    /// atomically, so the changes after that revision are read once more.
     pub values: Snapshot,
-    /// Where it ends; none if that was all.
+    /// The token of the next page; none after the last.
     pub next: Option<PageToken>,
 }
 
-/// Pages after which a whole reading is given up: 500 values each.
+/// Most pages of a full read, of 500 values each.
 const MAX_PAGES: usize = 200;
 
-/// Reads what is published.
+/// A source of published values.
 pub trait Source: 'static {
-    /// The routing, the evacuations and a sample of the upstreams, which `draw` chooses: some
-    /// kilobytes, whatever is published.
+    /// Reads the routing, the evacuations and a sample of the upstreams, which `random` selects:
+    /// some kilobytes, however much is published.
     fn read_sample(
         &mut self,
-        draw: u64,
+        random: u64,
     ) -> impl Future<Output = Result<ReadResult<Vec<Entry<Item>>>, SourceError>>;
 
-    /// The beginning of everything: as much as one call brings.
+    /// Starts a full read: reads as much as one call returns.
     fn read_first_page(&mut self) -> impl Future<Output = Result<ReadResult<Page>, SourceError>>;
 
-    /// One call more after what was read so far.
+    /// Reads one more page, and appends it to those read so far.
     fn read_next_page(
         &mut self,
         so_far: ReadResult<Page>,
     ) -> impl Future<Output = Result<ReadResult<Page>, SourceError>>;
 
-    /// Everything.
+    /// Reads everything.
     fn read_all(&mut self) -> impl Future<Output = Result<ReadResult<Snapshot>, SourceError>> {
         async {
             let first = self.read_first_page().await?;
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Everything, where the beginning has been read.
+    /// Completes a full read whose first pages have been read.
     fn read_remaining_pages(
         &mut self,
         mut so_far: ReadResult<Page>,
@@ -127,13 +127,13 @@
         }
     }
 
-    /// Changes after a revision; waits up to `wait_ms` for the first.
+    /// Reads the changes after a revision. If there is none, waits up to `wait_ms` for the first.
     fn read_changes(
         &mut self,
         after: Revision,
         wait_ms: Millis,
     ) -> impl Future<Output = Result<ReadResult<Changes>, SourceError>>;
 
-    /// Calls made so far, refused and failed ones too.
+    /// Number of calls made so far, including refused and failed ones.
     fn calls(&self) -> u64;
 }
