--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,10 +1,10 @@
-//! Carries what entry hosts tell each other.
+//! Sends and receives messages between hosts.
 //!
-//! Datagrams carry who is there and what was read: most of it fits one, nothing waits for
-//! a silent peer, and no connection has to be kept for it, which `jsonrpsee` over WebSocket
-//! would need between any two hosts. What is missing is fetched over a connection. Bytes
-//! between availability zones are paid for, so both are in the compact `postcard` encoding.
-//! What is said, and to whom, [`published::Gossip`] decides.
+//! Membership and published changes go by datagram: most fit into one, an unresponsive peer
+//! delays nothing, and no connection between any two hosts has to be kept, as `jsonrpsee` over
+//! WebSocket would need. Hosts fetch what they miss over a connection. Traffic between
+//! availability zones is paid for, so both use the compact `postcard` encoding.
+//! [`published::Gossip`] decides what is sent, and to whom.
 
 pub mod codec;
 mod fetch;
@@ -17,7 +17,7 @@
 use codec::{CodecError, Datagram};
 use dispatch::scheduler::Requester;
 use domain::Millis;
-use fetch::FETCH_LIMIT;
+use fetch::FETCH_TIMEOUT;
 use published::{Effect, Fetch, Gossip, Message};
 use rand::RngExt;
 use std::net::{IpAddr, SocketAddr};
@@ -25,36 +25,38 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, UdpSocket};
 
-/// Largest datagram that is sent; larger news is fetched.
+/// Largest datagram that is sent; larger updates are fetched.
 const MAX_DATAGRAM_BYTES: usize = 8 * 1024;
 
-/// Time after the first try to join: the way to a seed and back, on a slow machine. Doubled with
-/// each try up to [`LAST_JOINS`], as hundreds of hosts ask the same few.
-const FIRST_JOINS: Duration = Duration::from_millis(40);
+/// Pause after the first join message: a round trip to a seed, on a slow machine. Doubled with
+/// each message up to [`MAX_JOIN_INTERVAL`], as hundreds of hosts join through the same seeds.
+const FIRST_JOIN_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Longest time between two tries to join.
-const LAST_JOINS: Duration = Duration::from_millis(200);
+/// Longest pause between two join messages.
+const MAX_JOIN_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The same while a seed has promised a picture: its answer may have been lost.
-const PROMISED_JOINS: Duration = Duration::from_millis(300);
+/// Pause between two join messages while a seed has promised a snapshot, which may have been lost.
+const PROMISED_JOIN_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Time between greetings to one known host, which repair what was lost.
-const GREETINGS: Duration = Duration::from_secs(3);
+/// Pause between two hellos to single hosts, which repair lost messages.
+const HELLO_INTERVAL: Duration = Duration::from_secs(3);
 
-/// The same while hosts are still being heard of for the first time, and how long that counts.
-const SETTLING_GREETINGS: Duration = Duration::from_secs(1);
+/// The same while the fleet is still changing.
+const SETTLING_HELLO_INTERVAL: Duration = Duration::from_secs(1);
+
+/// The fleet is still changing until no new host was discovered for this time.
 const SETTLING_MS: Millis = Millis(3_000);
 
-/// Hosts that start together must not greet together for ever.
-const GREETING_JITTER: std::ops::Range<f64> = 0.8..1.2;
+/// Factor that spreads the hellos of hosts that started together.
+const HELLO_JITTER: std::ops::Range<f64> = 0.8..1.2;
 
-/// Largest datagram that can come.
-const LARGEST_DATAGRAM_BYTES: usize = 64 * 1024;
+/// Largest datagram that can be received.
+const MAX_RECEIVED_BYTES: usize = 64 * 1024;
 
-/// Pause after an error of the socket, which an earlier datagram to nobody causes.
+/// Pause after a socket error, which an earlier datagram to an unreachable host can cause.
 const RECEIVE_PAUSE: Duration = Duration::from_millis(5);
 
-/// The host's voice towards its peers.
+/// This host's connection to its peers.
 #[derive(Debug)]
 pub struct Peers {
     host: Rc<Host>,
@@ -62,12 +64,12 @@
 }
 
 impl Peers {
-    /// Speaks through a bound socket.
+    /// Sends and receives on a bound socket.
     pub fn new(host: Rc<Host>, socket: Rc<UdpSocket>) -> Rc<Peers> {
         Rc::new(Peers { host, socket })
     }
 
-    /// Has the host's gossip decide, and carries out what it decided.
+    /// Runs a step of the gossip protocol, and carries out its effects.
     pub fn run_gossip(self: &Rc<Peers>, decide: impl FnOnce(&mut Gossip) -> Vec<Effect>) {
         let effects = decide(&mut self.host.gossip.borrow_mut());
         for effect in effects {
@@ -75,30 +77,30 @@
         }
     }
 
-    /// Joins through the seeds, then greets them and the peers; never ends.
+    /// Joins the fleet through the seeds, then sends hellos to seeds and peers. Never returns.
     pub async fn send_hello(self: Rc<Peers>) {
-        let mut next_join = FIRST_JOINS;
+        let mut join_interval = FIRST_JOIN_INTERVAL;
         loop {
             let seeds = self.seed_addresses();
             let is_joining = self.host.gossip.borrow().is_joining(self.host.now_ms());
             let pause = match is_joining {
-                true if self.is_being_told() => PROMISED_JOINS,
-                true => next_join,
-                false if self.is_settling() => SETTLING_GREETINGS,
-                false => GREETINGS,
+                true if self.is_bootstrap_pending() => PROMISED_JOIN_INTERVAL,
+                true => join_interval,
+                false if self.is_settling() => SETTLING_HELLO_INTERVAL,
+                false => HELLO_INTERVAL,
             };
             if is_joining {
                 self.run_gossip(|gossip| gossip.join(&seeds));
-                next_join = (next_join * 2).min(LAST_JOINS);
+                join_interval = (join_interval * 2).min(MAX_JOIN_INTERVAL);
             } else {
                 self.run_gossip(|gossip| gossip.send_hello(&seeds));
             }
-            let jitter = self.host.rng.borrow_mut().random_range(GREETING_JITTER);
+            let jitter = self.host.rng.borrow_mut().random_range(HELLO_JITTER);
             clock::sleep(pause.mul_f64(jitter)).await;
         }
     }
 
-    fn is_being_told(&self) -> bool {
+    fn is_bootstrap_pending(&self) -> bool {
         self.host.gossip.borrow().is_bootstrap_pending(self.host.now_ms())
     }
 
@@ -106,28 +108,28 @@
         self.host.members().has_changed_within(self.host.now_ms(), SETTLING_MS)
     }
 
-    /// Takes datagrams; never ends.
+    /// Receives and handles datagrams. Never returns.
     pub async fn receive(self: Rc<Peers>) {
-        let mut buffer = vec![0; LARGEST_DATAGRAM_BYTES];
+        let mut buffer = vec![0; MAX_RECEIVED_BYTES];
         loop {
             match self.socket.recv_from(&mut buffer).await {
-                Ok((read, from)) => self.take(&buffer[..read], from),
-                // An earlier datagram found nobody; the socket itself is sound.
+                Ok((read, from)) => self.handle_datagram(&buffer[..read], from),
+                // An earlier datagram reached nobody; the socket itself still works.
                 Err(_) => clock::sleep(RECEIVE_PAUSE).await,
             }
         }
     }
 
-    /// Tells peers that ask for it what they lack; never ends.
+    /// Serves what peers fetch over connections. Never returns.
     pub async fn serve_fetches(self: Rc<Peers>, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
                     let host = Rc::clone(&self.host);
                     tokio::task::spawn_local(async move {
-                        // A peer that is gone asks another.
-                        let giving = fetch::give(&host, stream);
-                        let _ = clock::timeout(FETCH_LIMIT, giving).await;
+                        // After an error the peer fetches from another host.
+                        let serving = fetch::serve(&host, stream);
+                        let _ = clock::timeout(FETCH_TIMEOUT, serving).await;
                     });
                 }
                 Err(_) => clock::sleep(ACCEPT_PAUSE).await,
@@ -135,7 +137,7 @@
         }
     }
 
-    fn take(self: &Rc<Peers>, datagram: &[u8], from: SocketAddr) {
+    fn handle_datagram(self: &Rc<Peers>, datagram: &[u8], from: SocketAddr) {
         match codec::decode(datagram) {
             Ok(Datagram::Gossip(message)) => {
                 let now_ms = self.host.now_ms();
@@ -206,12 +208,12 @@
 
     fn run_gossip_later(
         self: &Rc<Peers>,
-        after_ms: Millis,
+        delay_ms: Millis,
         decide: fn(&mut Gossip, Millis) -> Vec<Effect>,
     ) {
         let peers = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            clock::sleep(to_duration(after_ms)).await;
+            clock::sleep(to_duration(delay_ms)).await;
             let now_ms = peers.host.now_ms();
             peers.run_gossip(|gossip| decide(gossip, now_ms));
         });
@@ -221,9 +223,9 @@
         let peers = Rc::clone(self);
         tokio::task::spawn_local(async move {
             clock::sleep(to_duration(fetch.delay_ms)).await;
-            let answer = fetch::fetch(&fetch).await;
+            let reply = fetch::fetch(&fetch).await;
             let now_ms = peers.host.now_ms();
-            peers.run_gossip(|gossip| gossip.finish_fetch(now_ms, fetch, answer));
+            peers.run_gossip(|gossip| gossip.finish_fetch(now_ms, fetch, reply));
         });
     }
 
@@ -235,21 +237,21 @@
     }
 }
 
-/// What doesn't fit a datagram is left out: it is fetched.
+/// Encodes a message, without its items or changes if it is too large: peers fetch these.
 fn encode(message: &Message) -> Result<Vec<u8>, CodecError> {
-    let whole = codec::encode(&Datagram::Gossip(message.clone()))?;
+    let full = codec::encode(&Datagram::Gossip(message.clone()))?;
     match message {
-        Message::StateUpdate { update, should_relay } if whole.len() > MAX_DATAGRAM_BYTES => {
+        Message::StateUpdate { update, should_relay } if full.len() > MAX_DATAGRAM_BYTES => {
             let update = Message::StateUpdate {
                 update: update.without_changes(),
                 should_relay: *should_relay,
             };
             codec::encode(&Datagram::Gossip(update))
         }
-        Message::JoinReply(reply) if whole.len() > MAX_DATAGRAM_BYTES => {
+        Message::JoinReply(reply) if full.len() > MAX_DATAGRAM_BYTES => {
             let reply = Message::JoinReply(Box::new(reply.without_items()));
             codec::encode(&Datagram::Gossip(reply))
         }
-        _ => Ok(whole),
+        _ => Ok(full),
     }
 }
--- a/crates/gateway/src/peers/codec.rs
+++ b/crates/gateway/src/peers/codec.rs
@@ -1,8 +1,8 @@
-//! How what peers tell each other is written: a version of the protocol, then `postcard`.
+//! The encoding of messages between hosts: the protocol's version, then `postcard`.
 //!
-//! While a release is rolled out hosts of two releases hear each other. What the other
-//! release says is refused as a whole rather than misread: each release then has a reader
-//! of its own, until the rollout ends.
+//! During a rollout, hosts of two releases receive each other's messages. Messages of another
+//! version are rejected rather than misread. Until the rollout ends, each release then has its
+//! own host that reads the source.
 
 use dispatch::backpressure::BackpressureMessage;
 use dispatch::quarantine::QuarantineMessage;
@@ -12,28 +12,28 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Version of the protocol; greater with each change of a message.
+/// Version of the protocol; increases with each change of a message.
 const PROTOCOL: u8 = 6;
 
-/// What a datagram says.
+/// The content of a datagram.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// Who is there, and what is published.
+    /// Membership and published state.
     Gossip(Message),
-    /// Who places which request.
+    /// Placement of requests by schedulers.
     Placement(PlacementMessage),
-    /// Which requests crash upstreams.
+    /// Requests that crash upstreams.
     Quarantine(QuarantineMessage),
-    /// What upstreams say of the load that they bear.
+    /// Rate limits and backoffs that upstreams state.
     Backpressure(BackpressureMessage),
 }
 
-/// Why a peer's message can't be read.
+/// Why a peer's message can't be decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CodecError {
-    /// Another release speaks another protocol.
+    /// It has the protocol version of another release.
     OtherProtocol(u8),
-    /// It is no message of this protocol.
+    /// It is not a valid message of this protocol.
     Malformed(String),
 }
 
@@ -52,21 +52,21 @@
 
 impl std::error::Error for CodecError {}
 
-/// Writes a message.
+/// Encodes a message.
 ///
 /// # Errors
 ///
-/// If the message can't be written, which no message of the protocol is.
+/// If the message can't be encoded; all messages of the protocol can.
 pub fn encode(message: &impl Serialize) -> Result<Vec<u8>, CodecError> {
-    let begun = vec![PROTOCOL];
-    postcard::to_extend(message, begun).map_err(|e| CodecError::Malformed(e.to_string()))
+    let header = vec![PROTOCOL];
+    postcard::to_extend(message, header).map_err(|e| CodecError::Malformed(e.to_string()))
 }
 
-/// Reads a message.
+/// Decodes a message.
 ///
 /// # Errors
 ///
-/// If it is of another protocol, or malformed.
+/// If it has another protocol version, or is malformed.
 pub fn decode<M: DeserializeOwned>(bytes: &[u8]) -> Result<M, CodecError> {
     match bytes.split_first() {
         Some((&PROTOCOL, message)) => {
