--- a/crates/gateway/src/fleet_message.rs
+++ b/crates/gateway/src/fleet_message.rs
@@ -1,7 +1,8 @@
-//! Datagrams to the whole fleet, or to some of it.
+//! Datagrams to the whole fleet, or to some of its hosts.
 //!
-//! A host tells its own availability zone itself, and the others through a few of their hosts.
-//! Lost is lost: what must not be missed is offered again now and then, by digest.
+//! A broadcast goes to all hosts of the local availability zone, and to a few hosts of each other
+//! zone, which relay it there. Lost datagrams are not sent again: hosts compare digests from time
+//! to time instead.
 
 use crate::event_log::LogEvent;
 use crate::host::Host;
@@ -10,29 +11,32 @@
 use rand::seq::SliceRandom;
 use std::net::SocketAddr;
 
-/// Peers that a host asks after a start or a pause. One of them may be new itself or out of reach.
-const ASKED_PEERS: usize = 3;
+/// Peers to which a host sends a request after a start or a suspension: some of them may have
+/// just started too, or be unreachable.
+const REQUESTED_PEERS: usize = 3;
 
-/// How often a host asks for the same after its start: once the first peer is known, and once more are.
+/// Requests that a host sends after its start: when it knows its first peer, and when it knows
+/// more.
 pub const START_REQUESTS: u32 = 2;
 
-/// Tells all hosts; the message differs for those that are to pass it on in their zone.
+/// Sends a message to all hosts. Its argument is whether the recipient should relay it in its
+/// zone.
 pub fn broadcast(host: &Host, message: impl Fn(bool) -> Datagram) {
     let recipients = host.gossip.borrow_mut().recipients(host.now_ms());
     for should_relay in [true, false] {
-        let told = recipients.iter().filter(|recipient| recipient.should_relay == should_relay);
-        let to: Vec<SocketAddr> = told.map(|&Recipient { address, .. }| address).collect();
+        let selected = recipients.iter().filter(|recipient| recipient.should_relay == should_relay);
+        let to: Vec<SocketAddr> = selected.map(|&Recipient { address, .. }| address).collect();
         send(host, &message(should_relay), &to);
     }
 }
 
-/// Passes a message on in this host's zone.
+/// Forwards a message to all peers in the local availability zone.
 pub fn forward_in_zone(host: &Host, message: &Datagram) {
     let peers = host.members().local_zone_peers();
     send(host, message, &peers);
 }
 
-/// Tells some peers, drawn at random.
+/// Sends a message to up to `most` peers, selected at random.
 pub fn send_to_random_peers(host: &Host, message: &Datagram, most: usize) {
     let mut others: Vec<SocketAddr> =
         host.members().others().map(|member| member.address).collect();
@@ -40,12 +44,12 @@
     send(host, message, some);
 }
 
-/// Asks some peers for what this host missed: it has just started, or stood still.
-pub fn request_from_random_peers(host: &Host, ask: &Datagram) {
-    send_to_random_peers(host, ask, ASKED_PEERS);
+/// Sends a request for what this host missed, after a start or a suspension, to some peers.
+pub fn request_from_random_peers(host: &Host, request: &Datagram) {
+    send_to_random_peers(host, request, REQUESTED_PEERS);
 }
 
-/// Tells hosts.
+/// Sends a message to hosts.
 pub fn send(host: &Host, message: &Datagram, to: &[SocketAddr]) {
     if to.is_empty() {
         return;
