--- a/crates/gateway/src/unread_headers.rs
+++ b/crates/gateway/src/unread_headers.rs
@@ -1,24 +1,24 @@
-//! Marks on upstreams' answers that nothing here reads.
+//! Finds headers of upstreams' responses that no part of the process reads.
 //!
-//! An answer is passed on whole, so what its upstream says to us in it may be overlooked without
-//! any harm to that answer. Each mark that no part of the process knows is told to operators, with
-//! its value, once in a while: a new one shows on the day on which upstreams begin to use it.
+//! Responses are forwarded unchanged, so nothing fails where an upstream states something new to
+//! the load balancer. Each unknown header is therefore logged with its value, at a limited rate,
+//! so that operators notice it as soon as upstreams start to send it.
 
 use crate::dialect::Dialect;
 use crate::http1::HeadFields;
 use domain::{FastMap, Millis, UpstreamId};
 
-/// A value that stays the same is told again after this time.
-const TOLD_AGAIN_MS: Millis = Millis(10_000);
+/// Time after which an unchanged value is logged again.
+const REPEAT_INTERVAL_MS: Millis = Millis(10_000);
 
-/// One that changes, after this: some change with each answer.
-const CHANGE_TOLD_MS: Millis = Millis(1_000);
+/// Time after which a changed value is logged: some change with each response.
+const CHANGE_INTERVAL_MS: Millis = Millis(1_000);
 
-/// Most pairs of upstream and mark that are remembered; more are not told.
-const MOST_REMEMBERED: usize = 512;
+/// Most pairs of upstream and header that are remembered; further ones are not logged.
+const MAX_ENTRIES: usize = 512;
 
-/// Headers that concern the message or its body, and say nothing to a load balancer.
-const OF_THE_MESSAGE: [&str; 11] = [
+/// Headers that describe the message or its body, and mean nothing to a load balancer.
+const MESSAGE_HEADERS: [&str; 11] = [
     "connection",
     "content-encoding",
     "content-length",
@@ -27,39 +27,41 @@
     "etag",
     "keep-alive",
     "last-modified",
-    // Of refusals; of other answers it is for callers.
+    // It is read on refusals; on other responses it is for callers.
     "retry-after",
     "server",
     "transfer-encoding",
 ];
 
-/// Longest value that is told; the rest is cut off.
-const MOST_TOLD_BYTES: usize = 64;
+/// Longest value that is logged; the rest is cut off.
+const MAX_VALUE_BYTES: usize = 64;
 
-/// A mark that nothing reads.
+/// A header that nothing reads, or whose value is malformed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnreadHeader {
-    /// Its name.
+    /// Its name, in lower case.
     pub name: String,
-    /// Its value, as far as it is text.
+    /// Its value as lossy UTF-8, truncated.
     pub value: String,
 }
 
-/// The marks that were told of late.
+/// The headers that were logged, and when, which limits how often each is logged.
 #[derive(Debug, Default)]
 pub struct UnreadHeaderLog {
-    told: FastMap<UpstreamId, Vec<Told>>,
-    remembered: usize,
+    logged: FastMap<UpstreamId, Vec<LoggedHeader>>,
+    /// Number of entries of all upstreams.
+    entries: usize,
 }
 
 #[derive(Debug)]
-struct Told {
-    mark: UnreadHeader,
+struct LoggedHeader {
+    header: UnreadHeader,
     at_ms: Millis,
 }
 
 impl UnreadHeaderLog {
-    /// Marks of an upstream's answer that are to be told now.
+    /// Returns the headers of an upstream's response that nothing reads and that are to be logged
+    /// now.
     pub fn headers_to_log(
         &mut self,
         now_ms: Millis,
@@ -68,43 +70,44 @@
         dialect: &Dialect,
     ) -> Vec<UnreadHeader> {
         let unread = fields.iter().filter(|(name, _)| !is_read(name, dialect));
-        let marks: Vec<UnreadHeader> =
+        let headers: Vec<UnreadHeader> =
             unread.map(|(name, value)| UnreadHeader::new(name, value)).collect();
-        marks.into_iter().filter(|mark| self.should_log(now_ms, upstream, mark)).collect()
+        headers.into_iter().filter(|header| self.should_log(now_ms, upstream, header)).collect()
     }
 
-    /// How many names of marks are known that nothing reads.
+    /// Number of distinct header names that were logged.
     pub fn count_names(&self) -> usize {
-        let names = self.told.values().flatten().map(|told| told.mark.name.as_str());
+        let names = self.logged.values().flatten().map(|logged| logged.header.name.as_str());
         names.collect::<domain::FastSet<&str>>().len()
     }
 
-    /// Forgets upstreams that are gone.
+    /// Drops the entries of upstreams that are gone.
     pub fn retain(&mut self, is_known: impl Fn(&UpstreamId) -> bool) {
-        self.told.retain(|id, _| is_known(id));
-        self.remembered = self.told.values().map(Vec::len).sum();
+        self.logged.retain(|id, _| is_known(id));
+        self.entries = self.logged.values().map(Vec::len).sum();
     }
 
-    /// Whether a mark of an upstream's answer is to be told now.
+    /// Whether a header of an upstream's response is to be logged now. If so, records it.
     pub fn should_log(
         &mut self,
         now_ms: Millis,
         upstream: &UpstreamId,
-        mark: &UnreadHeader,
+        header: &UnreadHeader,
     ) -> bool {
-        let told = self.told.entry(upstream.clone()).or_default();
-        match told.iter_mut().find(|told| told.mark.name == mark.name) {
-            Some(told) => {
-                let pause_ms = if told.mark == *mark { TOLD_AGAIN_MS } else { CHANGE_TOLD_MS };
-                let is_due = now_ms.since(told.at_ms) >= pause_ms;
+        let logged = self.logged.entry(upstream.clone()).or_default();
+        match logged.iter_mut().find(|logged| logged.header.name == header.name) {
+            Some(logged) => {
+                let interval_ms =
+                    if logged.header == *header { REPEAT_INTERVAL_MS } else { CHANGE_INTERVAL_MS };
+                let is_due = now_ms.since(logged.at_ms) >= interval_ms;
                 if is_due {
-                    *told = Told { mark: mark.clone(), at_ms: now_ms };
+                    *logged = LoggedHeader { header: header.clone(), at_ms: now_ms };
                 }
                 is_due
             }
-            None if self.remembered < MOST_REMEMBERED => {
-                told.push(Told { mark: mark.clone(), at_ms: now_ms });
-                self.remembered += 1;
+            None if self.entries < MAX_ENTRIES => {
+                logged.push(LoggedHeader { header: header.clone(), at_ms: now_ms });
+                self.entries += 1;
                 true
             }
             None => false,
@@ -113,14 +116,14 @@
 }
 
 fn is_read(name: &str, dialect: &Dialect) -> bool {
-    let is_it = |known: &str| name.eq_ignore_ascii_case(known);
-    OF_THE_MESSAGE.iter().any(|known| is_it(known)) || dialect.response_headers().any(is_it)
+    let is_same = |known: &str| name.eq_ignore_ascii_case(known);
+    MESSAGE_HEADERS.iter().any(|known| is_same(known)) || dialect.response_headers().any(is_same)
 }
 
 impl UnreadHeader {
-    /// A mark as it stands on an answer.
+    /// A header of a response, in lower case and with its value truncated.
     pub fn new(name: &str, value: &[u8]) -> UnreadHeader {
-        let value = String::from_utf8_lossy(&value[..value.len().min(MOST_TOLD_BYTES)]);
+        let value = String::from_utf8_lossy(&value[..value.len().min(MAX_VALUE_BYTES)]);
         UnreadHeader { name: name.to_ascii_lowercase(), value: value.into_owned() }
     }
 }
