--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -1,54 +1,55 @@
-//! How requests and answers are marked: header names and the reading of their values.
+//! The names of headers that have a meaning for the load balancer, and the parsing of their values.
 //!
-//! The product's own names are the default; whoever embeds the product states others.
+//! The defaults are the product's own names; a program that embeds the product can set others.
 
 use dispatch::LoadReport;
 use domain::Slots;
 
-/// Names and readings of marks, all in lower case.
+/// Header names, all in lower case, a path, and the parser of load reports.
 #[derive(Debug, Clone, Copy)]
 pub struct Dialect {
-    /// Name of a request, set by the caller and echoed by upstreams.
+    /// Id of a request, set by the caller and echoed by upstreams.
     pub request_id: &'static str,
-    /// Names the caller, if a header does.
+    /// Id of the caller; none where no header states it.
     pub caller: Option<&'static str>,
-    /// Milliseconds that the sender will wait.
+    /// Milliseconds for which the sender waits for the response.
     pub deadline_ms: &'static str,
-    /// Mark of an answer that an upstream made.
+    /// Present on responses that an upstream made itself.
     pub seal: &'static str,
-    /// The only upstream that may run the request.
+    /// Id of the only upstream that may run the request.
     pub expected_upstream: &'static str,
-    /// The upstream that answers.
+    /// Id of the upstream that responds.
     pub upstream: &'static str,
-    /// Declares that the request was not run.
+    /// Present on responses to requests that the upstream did not run.
     pub not_run: &'static str,
-    /// Load of the upstream.
+    /// Load report of the upstream.
     pub load: &'static str,
-    /// Milliseconds for which the upstream stays cold, on answers to health checks; left out by one
-    /// that is warm.
+    /// Milliseconds for which the upstream stays cold, on responses to health checks; absent on
+    /// those of a warm one.
     pub cold_ms: &'static str,
-    /// Requests a second that the upstream takes from all hosts together, as long as it says so.
+    /// Requests per second that the upstream accepts from all hosts together, as long as it
+    /// states it.
     pub rate_limit: &'static str,
-    /// `1` on the answers of an upstream that is leaving.
+    /// `1` on the responses of an upstream that is leaving.
     pub leaving: &'static str,
-    /// Cause of a final answer of the host itself.
+    /// Cause of a refusal, on responses that the host itself makes.
     pub cause: &'static str,
     /// Path of the readiness check.
     pub ready_path: &'static str,
-    /// Reads the value of [`Dialect::load`].
+    /// Parses the value of [`Dialect::load`].
     pub parse_load: fn(&str) -> Option<LoadReport>,
 }
 
 impl Dialect {
-    /// Marks on upstreams' answers that are read.
+    /// Headers that are read from upstreams' responses.
     pub fn response_headers(&self) -> impl Iterator<Item = &'static str> {
-        let of_origin = [self.request_id, self.seal, self.upstream, self.not_run];
-        of_origin.into_iter().chain([self.load, self.cold_ms, self.rate_limit, self.leaving])
+        let of_request = [self.request_id, self.seal, self.upstream, self.not_run];
+        of_request.into_iter().chain([self.load, self.cold_ms, self.rate_limit, self.leaving])
     }
 }
 
 impl Default for Dialect {
-    /// The product's own marks.
+    /// The product's own names.
     fn default() -> Dialect {
         Dialect {
             request_id: "x-request-id",
@@ -69,15 +70,16 @@
     }
 }
 
-/// Percent of the usual working time where it is left out.
-const USUAL_PERCENT: u32 = 100;
+/// Service time in percent of the baseline, if a report doesn't state it.
+const DEFAULT_SLOWNESS_PERCENT: u32 = 100;
 
-/// Reads `running,waiting,slots` with, where it is told, the working time in percent of the usual.
+/// Parses `running,waiting,slots`, and optionally `,slowness`: the service time in percent of the
+/// baseline.
 pub fn parse_load_report(text: &str) -> Option<LoadReport> {
-    let mut figures = text.split(',').map(|figure| figure.trim().parse::<u32>());
-    let running = figures.next()?.ok()?;
-    let waiting = figures.next()?.ok()?;
-    let slots = Slots(figures.next()?.ok()?);
-    let slowness_percent = figures.next().unwrap_or(Ok(USUAL_PERCENT)).ok()?;
+    let mut numbers = text.split(',').map(|number| number.trim().parse::<u32>());
+    let running = numbers.next()?.ok()?;
+    let waiting = numbers.next()?.ok()?;
+    let slots = Slots(numbers.next()?.ok()?);
+    let slowness_percent = numbers.next().unwrap_or(Ok(DEFAULT_SLOWNESS_PERCENT)).ok()?;
     Some(LoadReport { running, waiting, slots, slowness_percent })
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,52 +1,53 @@
-//! What a host is told at its start, and again at each reload.
+//! Settings of a host, read at its start and at each reload.
 
 use dispatch::budget::FleetRetryLimits;
 use domain::{HostId, Millis, PerSecond, ZoneName};
 use published::Capacity;
 use std::net::{IpAddr, SocketAddr};
 
-/// Settings of an entry host.
+/// Settings of a host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// Its id.
     pub host: HostId,
-    /// Where it stands.
+    /// The availability zone that it is in.
     pub availability_zone: ZoneName,
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where readiness is asked.
+    /// Address for readiness checks.
     pub readiness: SocketAddr,
-    /// Where operators find metrics and the state dump; none to serve neither.
+    /// Address for operators: metrics, the state dump, lifting a quarantine. None to serve none
+    /// of these.
     pub operator: Option<SocketAddr>,
-    /// Where metrics are fetched besides; the process serves without it if it can't be had.
+    /// Further address that serves the same; the host runs without it if it can't be bound.
     pub metrics: Option<SocketAddr>,
-    /// Where peers are heard, by datagram and by connection.
+    /// Address for peers' datagrams and connections.
     pub peers: SocketAddr,
-    /// Hosts that may know others.
+    /// Hosts through which this one joins the fleet.
     pub seeds: Vec<IpAddr>,
     /// Whether the whole system starts for the first time.
     pub is_first_start: bool,
-    /// What its machine can do, as far as the settings say.
+    /// Capacity of its machine, as far as the settings state it.
     pub capacity: Capacity,
-    /// What the whole fleet may spend, and for how long it may take to stop.
+    /// Limits of the whole fleet, and the time in which a host has to stop.
     pub limits: FleetLimits,
 }
 
 impl Settings {
-    /// All addresses at which the host listens.
+    /// All addresses on which the host listens.
     pub fn listen_addresses(&self) -> Vec<SocketAddr> {
-        let some = [self.operator, self.metrics].into_iter().flatten();
-        [self.callers, self.readiness, self.peers].into_iter().chain(some).collect()
+        let optional = [self.operator, self.metrics].into_iter().flatten();
+        [self.callers, self.readiness, self.peers].into_iter().chain(optional).collect()
     }
 }
 
-/// Bounds for the whole fleet.
+/// Limits of the whole fleet, and the time to stop.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FleetLimits {
-    /// Repeats.
+    /// Limits of retries.
     pub retries: FleetRetryLimits,
-    /// Health checks that one upstream takes.
+    /// Rate of health checks that one upstream gets from all hosts together.
     pub probes: PerSecond,
-    /// Time from the request to stop until the process is killed.
+    /// Time between the signal to stop and the kill of the process.
     pub stop_ms: Millis,
 }
