--- a/crates/gateway/src/backpressure.rs
+++ b/crates/gateway/src/backpressure.rs
@@ -6,7 +6,7 @@
 use crate::event_log::LogEvent;
 use crate::fleet_message;
 use crate::host::Host;
-use crate::http1::{AnswerHead, HeadFields};
+use crate::http1::{HeadFields, ResponseHead};
 use crate::peers::codec::Datagram;
 use dispatch::attempts::{self, ResponseSummary};
 use dispatch::backpressure::{
@@ -41,7 +41,7 @@
 pub fn read(
     host: &Host,
     upstream: &UpstreamId,
-    head: &AnswerHead,
+    head: &ResponseHead,
     answered: ResponseSummary,
 ) -> Backpressure {
     let is_its_own = answered.is_sealed || answered.not_run || attempts::is_final(answered);
@@ -131,7 +131,7 @@
 }
 
 /// What is due now and then: forgets, and offers a peer what it may have missed.
-pub fn turn(host: &Host) {
+pub fn run_maintenance(host: &Host) {
     host.upstreams.borrow_mut().forget_backpressure(host.now_ms());
     let digest = host.upstreams.borrow().backpressure().digest();
     if digest != 0 {
@@ -141,23 +141,23 @@
 }
 
 /// Peers were heard of. After the start they are asked for what upstreams said before.
-pub fn note_peers(host: &Host) {
+pub fn catch_up_after_start(host: &Host) {
     let asked = host.backpressure_requests_sent.get();
     if asked < fleet_message::START_REQUESTS {
         host.backpressure_requests_sent.set(asked + 1);
-        ask_peers(host);
+        request_from_peers(host);
     }
 }
 
 /// Asks some peers for what this host missed: it has just started, or stood still.
-pub fn ask_peers(host: &Host) {
+pub fn request_from_peers(host: &Host) {
     let digest = host.upstreams.borrow().backpressure().digest();
     let ask = Datagram::Backpressure(BackpressureMessage::Request { digest });
     fleet_message::request_from_random_peers(host, &ask);
 }
 
 /// Takes a peer's message; true if the peer waits to hear that this host is there.
-pub fn take(host: &Host, message: BackpressureMessage, from: SocketAddr) -> bool {
+pub fn handle_message(host: &Host, message: BackpressureMessage, from: SocketAddr) -> bool {
     let own_digest = host.upstreams.borrow().backpressure().digest();
     match message {
         BackpressureMessage::Update { updates, should_relay } => {
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -8,8 +8,8 @@
 use crate::dialect::Dialect;
 use crate::event_log::{EventLog, LogEvent};
 use crate::metrics::Metrics;
-use crate::placing::Placing;
-use crate::pool::{Kept, Pool};
+use crate::placement::PlacementState;
+use crate::pool::{Pool, PoolLimit};
 use crate::settings::Settings;
 use crate::unread_headers::UnreadHeaderLog;
 use clock::Clock;
@@ -60,7 +60,7 @@
     /// Limits what this host sends without a scheduler to upstreams that state a rate limit.
     pub rate_limiter: RefCell<LocalRateLimiter>,
     /// This host's part in scheduling requests.
-    pub placing: Placing,
+    pub placement: PlacementState,
     /// The state of routes that split their requests between services.
     pub split_table: RefCell<SplitTable>,
     /// Idle connections to upstreams.
@@ -129,7 +129,7 @@
             probe_budget: RefCell::new(ProbeBudget::new(unscheduled_probes(&settings))),
             zone_probe_budget: RefCell::new(ProbeBudget::new(local_zone_probes(&settings))),
             rate_limiter: RefCell::new(LocalRateLimiter::new(settings.host.clone())),
-            placing: Placing::new(
+            placement: PlacementState::new(
                 socket,
                 settings.host.clone(),
                 ProbeBudget::new(scheduler_probes(&settings)),
@@ -238,7 +238,7 @@
         self.retry_budget.borrow_mut().set_allowed(settings.limits.retries);
         self.probe_budget.borrow_mut().set_allowed(unscheduled_probes(&settings));
         self.zone_probe_budget.borrow_mut().set_allowed(local_zone_probes(&settings));
-        self.placing.asks.borrow_mut().set_allowed(scheduler_probes(&settings));
+        self.placement.probe_budget.borrow_mut().set_allowed(scheduler_probes(&settings));
         current.limits = settings.limits;
         current.seeds = settings.seeds;
         drop(current);
@@ -248,7 +248,7 @@
     /// Records that the process runs, so that probe budgets accrue nothing while it is suspended.
     pub fn record_awake(&self) {
         let now_ms = self.now_ms();
-        for budget in [&self.probe_budget, &self.zone_probe_budget, &self.placing.asks] {
+        for budget in [&self.probe_budget, &self.zone_probe_budget, &self.placement.probe_budget] {
             budget.borrow_mut().record_awake(now_ms);
         }
     }
@@ -267,7 +267,7 @@
         };
         self.pool.borrow_mut().prune(|id| {
             let upstream = &state.upstream(id)?.value;
-            Some(Kept { run: upstream.run, most: max_idle(&upstream.service) })
+            Some(PoolLimit { run: upstream.run, max_idle: max_idle(&upstream.service) })
         });
     }
 
@@ -280,7 +280,7 @@
         self.prune_connections();
         self.probe_budget.borrow_mut().retain(is_known);
         self.zone_probe_budget.borrow_mut().retain(is_known);
-        self.placing.asks.borrow_mut().retain(is_known);
+        self.placement.probe_budget.borrow_mut().retain(is_known);
         self.rate_limiter.borrow_mut().retain(now_ms, is_known);
         self.unread_headers.borrow_mut().retain(is_known);
         self.malformed_headers.borrow_mut().retain(is_known);
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -12,7 +12,7 @@
 use crate::backpressure;
 use crate::event_log::LogEvent;
 use crate::host::{ACCEPT_PAUSE, Host, to_duration};
-use crate::placing;
+use crate::placement;
 use crate::quarantine;
 use codec::{CodecError, Datagram};
 use dispatch::scheduler::Requester;
@@ -144,17 +144,17 @@
                 self.run_gossip(|gossip| gossip.handle_message(now_ms, message, from));
             }
             Ok(Datagram::Quarantine(message)) => {
-                if quarantine::take(&self.host, message, from) {
+                if quarantine::handle_message(&self.host, message, from) {
                     self.run_gossip(|gossip| gossip.acknowledge_relay(from));
                 }
             }
             Ok(Datagram::Backpressure(message)) => {
-                if backpressure::take(&self.host, message, from) {
+                if backpressure::handle_message(&self.host, message, from) {
                     self.run_gossip(|gossip| gossip.acknowledge_relay(from));
                 }
             }
             Ok(Datagram::Placement(message)) => {
-                placing::take(&self.host, message, Requester::Peer(from));
+                placement::handle_message(&self.host, message, Requester::Peer(from));
             }
             Err(e) => self.host.log.write(&LogEvent::PeerUnreadable {
                 from: from.to_string(),
@@ -176,10 +176,10 @@
                 self.host.log.write(&LogEvent::Fetched { peer, revision, is_whole: is_full });
             }
             Effect::PeersDiscovered(peers) => {
-                peers.iter().for_each(|peer| self.host.placing.forget_silence(peer));
+                peers.iter().for_each(|peer| self.host.placement.mark_responsive(peer));
                 let (count, first) = (peers.len(), peers.first());
-                quarantine::note_peers(&self.host);
-                backpressure::note_peers(&self.host);
+                quarantine::catch_up_after_start(&self.host);
+                backpressure::catch_up_after_start(&self.host);
                 self.host.log.write(&LogEvent::PeersHeard { count, first, hosts });
             }
             Effect::AnnounceJoined { delay_ms } => {
@@ -203,7 +203,7 @@
                 return;
             }
         };
-        self.host.placing.send_to_peers(&self.host.metrics, &datagram, to);
+        self.host.placement.send_to_peers(&self.host.metrics, &datagram, to);
     }
 
     fn run_gossip_later(
--- /dev/null
+++ b/crates/gateway/src/serve/selection.rs
@@ -0,0 +1,325 @@
+//! Selects an upstream for a request, and opens a connection to it.
+//!
+//! While no requests wait for a placement, an idle upstream of the local zone takes the request.
+//! Otherwise the scheduler of its service places it; if no scheduler answers, this host probes
+//! upstreams itself and takes the best one.
+
+use super::RoutedRequest;
+use super::attempt::AttemptCounts;
+use crate::connection::Connection;
+use crate::event_log::{ChosenBy, LogEvent};
+use crate::host::to_duration;
+use crate::placement::{self, PlacementGuard, PlacementResult};
+use crate::probe::{self, Chosen};
+use dispatch::attempts::{Cause, Refusal};
+use dispatch::scheduler::{Cell, Placement, RefusalCause, Submission, Ticket};
+use dispatch::{DeadlineCheck, LatencyEstimate, Verdict};
+use domain::{Millis, UpstreamId, ZoneName};
+
+/// If selecting and connecting took longer than this, the caller's connection is checked again.
+const STALE_SELECTION_MS: Millis = Millis(40);
+
+/// Most upstreams that are tried for one request.
+const MAX_TRIED: usize = 8;
+
+/// An upstream that was selected for a request.
+#[derive(Debug)]
+pub(super) struct Selected {
+    pub(super) upstream: UpstreamId,
+    /// The placement, if a scheduler made it.
+    pub(super) placement: Option<PlacementGuard>,
+    /// Expected duration, as a multiple of the service's average.
+    pub(super) work: f64,
+    /// Cost by which it was compared with others.
+    pub(super) cost: f64,
+    /// Age of its last load report.
+    pub(super) report_age_ms: Option<Millis>,
+    /// When the selection began.
+    pub(super) begun_ms: Millis,
+    /// What chose it.
+    pub(super) by: ChosenBy,
+    /// The connection on which it answered a probe, if it was probed.
+    connection: Option<Connection>,
+}
+
+impl RoutedRequest {
+    /// Selects an upstream and connects to it; refuses if there is none or no time left.
+    pub(super) async fn select_in_time(
+        &self,
+        counts: &mut AttemptCounts,
+    ) -> Result<(Selected, Connection), Refusal> {
+        let left = self.host.clock.time_until(self.end_ms);
+        match clock::timeout(left, self.select(counts)).await {
+            Ok(selected) => selected,
+            Err(_) => Err(deadline_refusal(counts)),
+        }
+    }
+
+    async fn select(&self, counts: &mut AttemptCounts) -> Result<(Selected, Connection), Refusal> {
+        while counts.tried.len() < MAX_TRIED {
+            let begun_ms = self.host.now_ms();
+            self.check_time(begun_ms, counts)?;
+            let selected = self.select_upstream(begun_ms, counts).await?;
+            self.check_time(self.host.now_ms(), counts)?;
+            let Some(mut selected) = selected else { break };
+            let connection = match selected.connection.take() {
+                Some(connection) => Some(connection),
+                None => {
+                    probe::connect(&self.host, &selected.upstream, self.route().idempotency).await
+                }
+            };
+            if self.host.now_ms().since(begun_ms) > STALE_SELECTION_MS {
+                self.check_caller().await;
+            }
+            match connection {
+                Some(connection) if self.may_send(&selected) => {
+                    if probe::is_trusted(&connection, self.route().idempotency) {
+                        return Ok((selected, connection));
+                    }
+                    self.host.pool.borrow_mut().put(&selected.upstream, connection);
+                }
+                connection => {
+                    if connection.is_none() {
+                        selected.placement.iter_mut().for_each(PlacementGuard::record_unreachable);
+                    }
+                    counts.tried.push(selected.upstream);
+                }
+            }
+        }
+        Err(self.no_upstream_refusal(counts))
+    }
+
+    /// Checks again right before sending: the upstream's state may have changed while the
+    /// connection was opened.
+    fn may_send(&self, selected: &Selected) -> bool {
+        let upstreams = self.host.upstreams.borrow();
+        let is_allowed = match selected.placement {
+            // The scheduler has already counted the request against the upstream's rate limit.
+            Some(_) => {
+                upstreams.remaining_backoff(self.host.now_ms(), &selected.upstream).is_none()
+            }
+            None => self.host.may_send(&upstreams, &selected.upstream),
+        };
+        upstreams.accepts_requests(&selected.upstream) && is_allowed
+    }
+
+    fn no_upstream_refusal(&self, counts: &AttemptCounts) -> Refusal {
+        let upstreams = self.host.upstreams.borrow();
+        let free_in_ms = upstreams.next_request_in(self.host.now_ms(), &self.service);
+        match (counts.may_have_run() > 0, free_in_ms) {
+            (true, _) => Refusal::may_have_run(Cause::UpstreamFailed),
+            (false, Some(free_in_ms)) => Refusal::rate_limited(free_in_ms),
+            (false, None) if upstreams.is_evacuated(&self.service) => {
+                Refusal::not_run(Cause::ZonesEvacuated)
+            }
+            (false, None) => Refusal::not_run(Cause::NoUpstream),
+        }
+    }
+
+    /// Returns an idle upstream of the local zone, the scheduler's choice, or the best of those
+    /// probed; none if there is none to probe.
+    async fn select_upstream(
+        &self,
+        begun_ms: Millis,
+        counts: &AttemptCounts,
+    ) -> Result<Option<Selected>, Refusal> {
+        if let Some(local) = self.find_idle_local(begun_ms, counts).await {
+            return Ok(Some(local));
+        }
+        match self.place(counts).await {
+            PlacementResult::Placed(guard, placement) => {
+                Ok(Some(self.selected_by_scheduler(guard, placement, begun_ms)))
+            }
+            PlacementResult::Refused(RefusalCause::NoRoom { retry_after_ms, ahead }) => {
+                Err(self.no_capacity_refusal(retry_after_ms, ahead, counts))
+            }
+            PlacementResult::Refused(RefusalCause::NoUpstream) | PlacementResult::Unanswered => {
+                self.probe(begun_ms, counts).await
+            }
+        }
+    }
+
+    /// Finds an idle upstream of the local zone. Only for a first attempt while no requests wait:
+    /// the round trip to the scheduler would take most of the time, and may cross zones.
+    async fn find_idle_local(&self, begun_ms: Millis, counts: &AttemptCounts) -> Option<Selected> {
+        if counts.sent > 0 || self.host.placement.is_busy(&self.service, begun_ms) {
+            return None;
+        }
+        let chosen = probe::choose_idle_local(&self.host, &self.service).await?;
+        Some(self.selected_by_probe(chosen, begun_ms))
+    }
+
+    /// Has the scheduler of the local availability zone place the request, or that of another
+    /// zone if the local one has no capacity.
+    async fn place(&self, counts: &AttemptCounts) -> PlacementResult {
+        if self.host.is_partial() {
+            return PlacementResult::Unanswered;
+        }
+        let zone = self.host.settings.borrow().availability_zone.clone();
+        let cell = {
+            let (upstreams, mut rng) = (self.host.upstreams.borrow(), self.host.rng.borrow_mut());
+            Cell::for_request(&self.service, &zone, &upstreams, &mut rng)
+        };
+        let first_zone = cell.zone.clone();
+        let placement = placement::place(&self.host, cell, self.submission(&zone, counts)).await;
+        // The zone has no capacity, or no upstream that can be reached.
+        let has_no_room = matches!(placement, PlacementResult::Refused(_));
+        match first_zone.and_then(|first| self.other_zone(&first)) {
+            Some(other) if has_no_room => {
+                let cell = Cell { service: self.service.clone(), zone: Some(other) };
+                placement::place(&self.host, cell, self.submission(&zone, counts)).await
+            }
+            _ => placement,
+        }
+    }
+
+    fn other_zone(&self, zone: &ZoneName) -> Option<ZoneName> {
+        let (upstreams, mut rng) = (self.host.upstreams.borrow(), self.host.rng.borrow_mut());
+        upstreams.draw_other_zone(&self.service, zone, &mut rng)
+    }
+
+    fn submission(
+        &self,
+        zone: &ZoneName,
+        counts: &AttemptCounts,
+    ) -> impl FnOnce(Ticket, Cell) -> Submission {
+        let now_ms = self.host.now_ms();
+        let route = self.route();
+        let (priority, objective_ms) = (route.priority, route.objective_ms);
+        let age_ms = now_ms.since(self.request.arrived_ms);
+        let left_ms = self.end_ms.since(now_ms);
+        let (zone, tried) = (zone.clone(), counts.tried.clone());
+        let backing_off = self.host.upstreams.borrow().upstreams_in_backoff(now_ms, &self.service);
+        move |ticket, cell| Submission {
+            ticket,
+            cell,
+            zone,
+            priority,
+            objective_ms,
+            age_ms,
+            left_ms,
+            tried,
+            backing_off,
+            lends_rate_share: false,
+        }
+    }
+
+    fn selected_by_scheduler(
+        &self,
+        guard: PlacementGuard,
+        placement: Placement,
+        begun_ms: Millis,
+    ) -> Selected {
+        let Placement { upstream, work, cost, report_age_ms, ahead } = placement;
+        let (work, cost) = (f64::from(work), f64::from(cost));
+        let by = ChosenBy::Scheduler {
+            scheduler: guard.scheduler().clone(),
+            ticket: guard.ticket(),
+            ahead,
+        };
+        let placement = Some(guard);
+        Selected { upstream, placement, work, cost, report_age_ms, begun_ms, by, connection: None }
+    }
+
+    fn no_capacity_refusal(
+        &self,
+        retry_after_ms: Millis,
+        ahead: usize,
+        counts: &AttemptCounts,
+    ) -> Refusal {
+        self.host.log.write(&LogEvent::Unplaced { id: &self.id, ahead, retry_after_ms });
+        match counts.may_have_run() > 0 {
+            true => Refusal::may_have_run(Cause::UpstreamFailed),
+            false => Refusal::overloaded(retry_after_ms),
+        }
+    }
+
+    /// Probes upstreams until one is expected to respond in time; none if there is none to probe.
+    async fn probe(
+        &self,
+        begun_ms: Millis,
+        counts: &AttemptCounts,
+    ) -> Result<Option<Selected>, Refusal> {
+        loop {
+            let chosen = probe::choose(&self.host, &self.service, &counts.tried).await;
+            let now_ms = self.host.now_ms();
+            self.check_time(now_ms, counts)?;
+            let Some(chosen) = chosen else { return Ok(None) };
+            match self.weigh(now_ms, &chosen, counts) {
+                Verdict::Send => return Ok(Some(self.selected_by_probe(chosen, begun_ms))),
+                Verdict::ProbeAgain(pause_ms) => {
+                    chosen.put_back(&self.host);
+                    clock::sleep(to_duration(pause_ms)).await;
+                }
+                Verdict::Refuse => return Err(Refusal::not_run(Cause::Overloaded)),
+            }
+        }
+    }
+
+    fn selected_by_probe(&self, chosen: Chosen, begun_ms: Millis) -> Selected {
+        let Chosen { upstream, connection, work, cost, asked, answered } = chosen;
+        let now_ms = self.host.now_ms();
+        let upstreams = self.host.upstreams.borrow();
+        let report = upstreams.get(&upstream).and_then(|known| known.report(now_ms));
+        Selected {
+            upstream,
+            placement: None,
+            work,
+            cost,
+            report_age_ms: report.map(|(_, age_ms)| age_ms),
+            begun_ms,
+            by: ChosenBy::Asking { asked, answered },
+            connection,
+        }
+    }
+
+    /// Checks whether the upstream is expected to respond in time. Only a first attempt may be
+    /// delayed or refused: a retry has already lost time.
+    fn weigh(&self, now_ms: Millis, chosen: &Chosen, counts: &AttemptCounts) -> Verdict {
+        if counts.sent > 0 {
+            return Verdict::Send;
+        }
+        let check = DeadlineCheck {
+            arrived_ms: self.request.arrived_ms,
+            objective_ms: self.route().objective_ms,
+            end_ms: self.end_ms,
+        };
+        let expected_ms = self.host.upstreams.borrow().expected_ms(&self.service, chosen.work);
+        let verdict = check.check(now_ms, LatencyEstimate { expected_ms });
+        if verdict != Verdict::Send {
+            self.host.log.write(&LogEvent::Declined {
+                id: &self.id,
+                upstream: &chosen.upstream,
+                expected_ms,
+                asked: chosen.asked,
+                answered: chosen.answered,
+                objective_left_ms: (check.arrived_ms + check.objective_ms).since(now_ms),
+                verdict,
+            });
+        }
+        verdict
+    }
+
+    /// Checks whether the caller disconnected unnoticed while this process was paused. If so, it
+    /// never returns: the task that reads the caller's connection cancels the request.
+    async fn check_caller(&self) {
+        if self.caller.is_gone_now() && !self.progress.continues_without_caller.get() {
+            std::future::pending::<()>().await;
+        }
+    }
+
+    /// Refuses the request if its deadline has passed.
+    pub(super) fn check_time(&self, now_ms: Millis, counts: &AttemptCounts) -> Result<(), Refusal> {
+        match now_ms < self.end_ms {
+            true => Ok(()),
+            false => Err(deadline_refusal(counts)),
+        }
+    }
+}
+
+fn deadline_refusal(counts: &AttemptCounts) -> Refusal {
+    match counts.may_have_run() > 0 {
+        true => Refusal::may_have_run(Cause::TimedOut),
+        false => Refusal::not_run(Cause::Expired),
+    }
+}
