--- a/crates/gateway/src/event_log.rs
+++ b/crates/gateway/src/event_log.rs
@@ -1,26 +1,26 @@
-//! Structured logs: one JSON object a line, on standard output.
+//! Structured logs: one JSON object per line, on standard output.
 //!
-//! A line never blocks: it goes to a bounded buffer that is written out when the reader
-//! of standard output takes it. Past half of the buffer, lines of plain successes are
-//! dropped; past all of it, the others too. The next line that is taken says how many.
-//! `log` and `env_logger` write sentences and block, so they serve the tools only.
+//! Logging never blocks: lines go to a bounded buffer, which is flushed as far as the reader of
+//! standard output accepts it. Once half of the buffer is full, lines of routine events are
+//! dropped; once it is full, all lines are. The next line that is written states how many were
+//! dropped. `log` and `env_logger` block and write unstructured text, so only the tools use them.
 
 mod event;
 
 pub use event::{ChosenBy, LogEvent, ResponseTo};
 
 use domain::HostId;
-use event::Weight;
+use event::Priority;
 use serde::Serialize;
 use std::cell::RefCell;
 use std::fs::File;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Most bytes that wait for the reader of standard output.
-const MAX_WAITING_BYTES: usize = 256 * 1024;
+/// Size of the buffer.
+const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
-/// Lines of one flush interval are written at once: one system call for some ten requests.
-const FLUSH: Duration = Duration::from_millis(100);
+/// Time between two flushes. The lines in between are written by one system call.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Serialize)]
 struct Line<'a> {
@@ -28,8 +28,8 @@
     host: &'a HostId,
     #[serde(skip_serializing_if = "is_zero")]
     dropped_routine: u64,
-    #[serde(skip_serializing_if = "is_zero")]
-    dropped_telling: u64,
+    #[serde(rename = "dropped_telling", skip_serializing_if = "is_zero")]
+    dropped_important: u64,
     #[serde(flatten)]
     event: &'a LogEvent<'a>,
 }
@@ -47,14 +47,16 @@
 
 #[derive(Debug)]
 struct State {
-    waiting: Vec<u8>,
+    buffer: Vec<u8>,
+    /// Lines dropped since the last one that was written.
     dropped_routine: u64,
-    dropped_telling: u64,
-    dropped_ever: u64,
+    dropped_important: u64,
+    /// All lines dropped since the start.
+    dropped_total: u64,
     out: Option<Out>,
 }
 
-/// Where lines go.
+/// The destination of lines.
 #[derive(Debug)]
 pub enum Out {
     /// Standard output, which must not block.
@@ -66,7 +68,7 @@
 impl Out {
     fn write(&self, bytes: &[u8]) -> rustix::io::Result<usize> {
         match self {
-            // Past the library's own buffer, which would wait for the reader.
+            // Bypasses the library's own buffer, which would block.
             Out::Stdout => rustix::io::write(std::io::stdout(), bytes),
             Out::File(file) => rustix::io::write(file, bytes),
         }
@@ -82,83 +84,83 @@
         Ok(EventLog::new(host, Some(Out::Stdout)))
     }
 
-    /// A log that is written elsewhere, or kept until it is full.
+    /// A log that is written to `out`; without it, lines stay in the buffer.
     pub fn new(host: HostId, out: Option<Out>) -> EventLog {
         let state = State {
-            waiting: Vec::new(),
+            buffer: Vec::new(),
             dropped_routine: 0,
-            dropped_telling: 0,
-            dropped_ever: 0,
+            dropped_important: 0,
+            dropped_total: 0,
             out,
         };
         EventLog { host, state: RefCell::new(state) }
     }
 
-    /// Takes one line, or drops and counts it.
+    /// Buffers one line, or drops and counts it.
     pub fn write(&self, event: &LogEvent<'_>) {
         let mut state = self.state.borrow_mut();
-        let weight = event.weight();
-        let limit = match weight {
-            Weight::Routine => MAX_WAITING_BYTES / 2,
-            Weight::Telling => MAX_WAITING_BYTES,
+        let priority = event.priority();
+        let limit = match priority {
+            Priority::Routine => MAX_BUFFERED_BYTES / 2,
+            Priority::Important => MAX_BUFFERED_BYTES,
         };
-        if state.waiting.len() >= limit {
-            state.note_dropped(weight);
+        if state.buffer.len() >= limit {
+            state.count_dropped(priority);
             return;
         }
         let line = Line {
             at_ms: epoch_ms(),
             host: &self.host,
             dropped_routine: std::mem::take(&mut state.dropped_routine),
-            dropped_telling: std::mem::take(&mut state.dropped_telling),
+            dropped_important: std::mem::take(&mut state.dropped_important),
             event,
         };
-        match serde_json::to_writer(&mut state.waiting, &line) {
-            Ok(()) => state.waiting.push(b'\n'),
-            Err(_) => state.note_dropped(weight),
+        match serde_json::to_writer(&mut state.buffer, &line) {
+            Ok(()) => state.buffer.push(b'\n'),
+            Err(_) => state.count_dropped(priority),
         }
     }
 
-    /// Takes the lines that wait to be written.
+    /// Removes and returns the buffered lines.
     pub fn take_buffered(&self) -> String {
-        let waiting = std::mem::take(&mut self.state.borrow_mut().waiting);
-        String::from_utf8_lossy(&waiting).into_owned()
+        let buffer = std::mem::take(&mut self.state.borrow_mut().buffer);
+        String::from_utf8_lossy(&buffer).into_owned()
     }
 
-    /// Lines dropped since the start.
+    /// Number of lines dropped since the start.
     pub fn dropped(&self) -> u64 {
-        self.state.borrow().dropped_ever
+        self.state.borrow().dropped_total
     }
 
-    /// Writes out what the reader of standard output takes, without waiting for it.
+    /// Writes as many buffered lines as the output accepts without blocking.
     pub fn flush(&self) {
         let mut state = self.state.borrow_mut();
-        let State { waiting, out: Some(out), .. } = &mut *state else { return };
-        while !waiting.is_empty() {
-            match out.write(waiting) {
-                Ok(written) => drop(waiting.drain(..written)),
+        let State { buffer, out: Some(out), .. } = &mut *state else { return };
+        while !buffer.is_empty() {
+            match out.write(buffer) {
+                Ok(written) => drop(buffer.drain(..written)),
                 Err(rustix::io::Errno::INTR) => {}
-                // A reader that is slow or gone must not hold up anything; lines wait or drop.
+                // A slow or closed output must not block the process: lines stay buffered.
                 Err(_) => break,
             }
         }
     }
 
-    /// Writes out what waits, again and again; never ends.
+    /// Flushes periodically. Never returns.
     pub async fn run(&self) {
         loop {
-            clock::sleep(FLUSH).await;
+            clock::sleep(FLUSH_INTERVAL).await;
             self.flush();
         }
     }
 }
 
 impl State {
-    fn note_dropped(&mut self, weight: Weight) {
-        self.dropped_ever += 1;
-        match weight {
-            Weight::Routine => self.dropped_routine += 1,
-            Weight::Telling => self.dropped_telling += 1,
+    fn count_dropped(&mut self, priority: Priority) {
+        self.dropped_total += 1;
+        match priority {
+            Priority::Routine => self.dropped_routine += 1,
+            Priority::Important => self.dropped_important += 1,
         }
     }
 }
--- a/crates/gateway/src/event_log/event.rs
+++ b/crates/gateway/src/event_log/event.rs
@@ -1,4 +1,6 @@
-//! The events of the log: each a decision, with the inputs that decided it.
+//! The events of the log: decisions and state changes, with the inputs that led to them.
+//!
+//! Operators' tools match the names of events, fields and values, so these keep their spelling.
 
 use dispatch::attempts::Refusal;
 use dispatch::backpressure::LimitChange;
@@ -11,72 +13,75 @@
 use published::{Revision, StateChange};
 use serde::Serialize;
 
-/// How much a line matters.
+/// The order in which lines are dropped when the buffer fills up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Weight {
-    /// Dropped first.
+pub(super) enum Priority {
+    /// Dropped once half of the buffer is full.
     Routine,
-    /// Kept as long as there is room.
-    Telling,
+    /// Dropped only once the buffer is full.
+    Important,
 }
 
-/// One decision.
+/// One event.
 #[expect(missing_docs, reason = "the fields are the inputs, named as the log names them")]
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "kebab-case", rename_all_fields = "snake_case")]
 pub enum LogEvent<'a> {
-    /// The process began to serve.
+    /// The process started to serve.
     Started { incarnation: Incarnation, version: &'a str, callers: String, seeds: usize },
-    /// The process was asked to stop.
+    /// The process received a signal to stop.
     Stopping { open_requests: usize },
     /// The process ends.
     Stopped { open_requests: usize },
-    /// Settings were read again.
+    /// Settings were reloaded.
     Reloaded { changed: bool },
-    /// Settings could not be read again; the last good ones stay.
+    /// Settings could not be reloaded; the last good ones stay in force.
     ReloadFailed { problem: &'a str },
-    /// No caller's connection could be taken.
+    /// A caller's connection could not be accepted.
     AcceptFailed { problem: String },
-    /// The address for metrics can't be listened on.
+    /// The address for metrics can't be bound.
     NoMetrics { problem: String },
-    /// A peer's message can't be read.
+    /// A peer's message can't be decoded.
     PeerUnreadable { from: String, problem: String },
-    /// A message to peers can't be written.
+    /// A message to peers can't be encoded.
     PeerUnwritable { problem: String },
     /// Readiness changed.
     Ready { is_ready: bool, reason: &'a str },
-    /// The process stood still and looks at the world anew.
+    /// The process was suspended; it requests from peers what it missed.
     Paused { for_ms: Millis },
-    /// Something else is believed.
+    /// The published state, as this host knows it, changed.
     Belief {
         #[serde(flatten)]
         change: &'a StateChange,
         from: &'a str,
     },
-    /// More changed at once than is told one by one.
+    /// Further changes of the published state, beyond those that are logged one by one.
     MoreBeliefs { count: usize, joined: usize, gone: usize, from: &'a str },
-    /// A zone is evacuated, with so many upstreams in it; none where the name is of no zone that is
-    /// known here.
+    /// A zone is evacuated, with the number of upstreams in it: zero may mean that the zone's
+    /// name is unknown.
     EvacuatedZone { zone: &'a ZoneName, upstreams: usize },
-    /// A published value can't be read: the last good routing stays, an upstream is gone.
+    /// A published value can't be parsed: the last good routing stays in force, an upstream is
+    /// removed.
     Unreadable { key: &'a str, revision: Revision, problem: &'a str },
-    /// More values of one reading can't be read than are told one by one.
+    /// Further values of one read that can't be parsed, beyond those that are logged one by one.
     MoreUnreadable { count: usize },
-    /// The source answers, to this host or to a peer that told of it.
+    /// This host, or a peer that it received an update from, reads the source again.
     SourceRegained { after_ms: Millis, revision: Revision, by: &'a str },
-    /// The source doesn't answer.
+    /// This host can't read the source.
     SourceLost { problem: String, picture_age_ms: Option<Millis> },
-    /// This host reads for the others from now on, or no longer.
+    /// This host starts or stops to read the source for the fleet.
     Reading { is_reading: bool, rank: usize, picture_age_ms: Option<Millis> },
-    /// The source is away for all: this host tries it again after a time that grows with the fleet.
+    /// The source is unavailable to the fleet: this host reads it again after a time that grows with
+    /// the fleet's size.
     ReadingHeld { failed_readers: usize, for_ms: Millis, picture_age_ms: Option<Millis> },
-    /// Peers were heard of for the first time, or in new runs.
+    /// Peers were discovered, or have restarted.
     PeersHeard { count: usize, first: Option<&'a HostId>, hosts: u32 },
-    /// A peer left or was silent for long.
+    /// A peer left, or timed out.
     PeerGone { peer: &'a HostId, hosts: u32 },
-    /// What was missing was fetched from a peer, all of it or what changed; or none told.
+    /// A fetch of missing data from peers ended: with a full snapshot, with changes, or without a
+    /// reply.
     Fetched { peer: &'a str, revision: Option<Revision>, is_whole: bool },
-    /// A request was taken and routed.
+    /// A request was accepted and routed.
     Routed {
         id: &'a str,
         route: &'a str,
@@ -85,7 +90,7 @@
         left_ms: Millis,
         picture_age_ms: Option<Millis>,
     },
-    /// An upstream was chosen.
+    /// An upstream was chosen for a request.
     Chosen {
         id: &'a str,
         upstream: &'a UpstreamId,
@@ -98,11 +103,11 @@
         is_other_zone: bool,
         warmth: Option<Warmth>,
     },
-    /// The scheduler had no room in time; so many waited before it.
+    /// The scheduler found no upstream in time; `ahead` requests were queued before this one.
     Unplaced { id: &'a str, ahead: usize, retry_after_ms: Millis },
-    /// A scheduler said nothing in time, and is passed over for a while or not yet.
+    /// A scheduler did not reply in time. `is_passed_over` if it is temporarily excluded for that.
     SchedulerSilent { scheduler: &'a HostId, cell: &'a Cell, is_passed_over: bool },
-    /// The best offer of a round was declined.
+    /// The best upstream of a round of probes was declined.
     Declined {
         id: &'a str,
         upstream: &'a UpstreamId,
@@ -112,10 +117,10 @@
         objective_left_ms: Millis,
         verdict: Verdict,
     },
-    /// An upstream answered, with a mark whose value is none: it is left out.
+    /// An upstream's response has a header with a malformed value, which is ignored.
     AnswerUnreadable { upstream: &'a UpstreamId, mark: &'a str, value: &'a str },
-    /// An upstream limits the requests that it takes from all hosts, or no longer; told by itself or by
-    /// a peer.
+    /// An upstream stated or lifted a limit on the rate of requests from all hosts, to this host or
+    /// to a peer.
     RateLimit {
         upstream: &'a UpstreamId,
         #[serde(flatten)]
@@ -124,15 +129,15 @@
     },
     /// An upstream refused a request, and asked this host to back off.
     BacksOff { upstream: &'a UpstreamId, for_ms: Millis },
-    /// An upstream said in its answers that it is leaving, to this host or to a peer.
+    /// An upstream stated in a response, to this host or to a peer, that it is leaving.
     SaysLeaving { upstream: &'a UpstreamId, from: &'a str },
-    /// An upstream answered, with a mark that nothing here reads.
+    /// An upstream's response has a header that nothing reads.
     MarkUnread { upstream: &'a UpstreamId, on: ResponseTo, mark: &'a str, value: &'a str },
-    /// Asking an upstream failed.
+    /// A probe of an upstream failed.
     AskFailed { upstream: &'a UpstreamId, failure: ProbeFailure },
-    /// A request left for an upstream.
+    /// An attempt of a request was sent to an upstream.
     Sent { id: &'a str, upstream: &'a UpstreamId, sending: u32, left_ms: Millis },
-    /// A sending failed.
+    /// An attempt failed.
     SendFailed {
         id: &'a str,
         upstream: &'a UpstreamId,
@@ -144,7 +149,7 @@
         fingerprint: RequestFingerprint,
         has_crashed: bool,
     },
-    /// More or nothing speaks against a request that upstreams crashed under.
+    /// The quarantine of a request that crashes upstreams changed.
     Quarantine {
         fingerprint: RequestFingerprint,
         change: SuspectStatus,
@@ -153,7 +158,7 @@
         seen_by: Vec<&'a HostId>,
         ages_ms: Vec<Millis>,
     },
-    /// An answer was handed to the caller.
+    /// A response was forwarded to the caller.
     Delivered {
         id: &'a str,
         upstream: &'a UpstreamId,
@@ -162,7 +167,7 @@
         objective_ms: Millis,
         sendings: u32,
     },
-    /// The host gave a final answer of its own.
+    /// The host refused a request: it made the final response itself.
     Refused {
         id: &'a str,
         status: u16,
@@ -176,7 +181,7 @@
     CallerGone { id: &'a str, after_ms: Millis, sendings: u32, runs_on: bool },
 }
 
-/// What an upstream answered.
+/// What an upstream responded to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ResponseTo {
@@ -192,35 +197,35 @@
 pub enum ChosenBy {
     /// The scheduler of the service.
     Scheduler {
-        /// Which host that is.
+        /// The host that runs it.
         scheduler: HostId,
-        /// The request's name there.
+        /// The scheduler's id of the request.
         ticket: Ticket,
-        /// Requests that waited before it.
+        /// Number of requests that were queued before it.
         ahead: usize,
     },
-    /// This host, which asked upstreams.
+    /// This host, by probing upstreams.
     Asking {
-        /// How many.
+        /// Number of upstreams probed.
         asked: usize,
-        /// How many answered.
+        /// Number of upstreams that responded.
         answered: usize,
     },
 }
 
 impl LogEvent<'_> {
-    pub(super) fn weight(&self) -> Weight {
+    pub(super) fn priority(&self) -> Priority {
         match self {
             LogEvent::Routed { .. } | LogEvent::Chosen { .. } | LogEvent::Sent { .. } => {
-                Weight::Routine
+                Priority::Routine
             }
-            LogEvent::Declined { verdict: Verdict::ProbeAgain(_), .. } => Weight::Routine,
+            LogEvent::Declined { verdict: Verdict::ProbeAgain(_), .. } => Priority::Routine,
             LogEvent::Delivered { status, after_ms, objective_ms, .. }
                 if *status < 400 && after_ms <= objective_ms =>
             {
-                Weight::Routine
+                Priority::Routine
             }
-            _ => Weight::Telling,
+            _ => Priority::Important,
         }
     }
 }
