--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the process counts, as Prometheus reads it.
+//! Metrics of the process, in the format of Prometheus.
 
 use dispatch::attempts::Cause;
 use error_stack::{Report, ResultExt};
@@ -9,7 +9,7 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Bounds of the latency histogram, in seconds: around the objectives of 0.2 s to 1 s.
+/// Bucket bounds of the latency histogram in seconds, around the objectives of 0.2 s to 1 s.
 const LATENCY_BOUNDS_S: [f64; 10] = [0.01, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 5.0];
 
 /// The instruments could not be set up.
@@ -24,7 +24,7 @@
 
 impl std::error::Error for MetricsError {}
 
-/// Instruments of the process.
+/// The instruments of the process.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -32,15 +32,15 @@
     answers: Counter<u64>,
     refusals: Counter<u64>,
     latency: Histogram<f64>,
-    sendings: Counter<u64>,
-    repeats: Counter<u64>,
-    asks: Counter<u64>,
+    attempts: Counter<u64>,
+    retries: Counter<u64>,
+    probes: Counter<u64>,
     connections: Counter<u64>,
     source_calls: Gauge<u64>,
     peer_bytes: Counter<u64>,
-    callers_gone: Counter<u64>,
+    callers_hung_up: Counter<u64>,
     broken_off: Counter<u64>,
-    picture_age: Gauge<f64>,
+    state_age: Gauge<f64>,
     log_lines_dropped: Gauge<u64>,
     open_requests: Gauge<u64>,
     quarantined: Gauge<u64>,
@@ -49,11 +49,11 @@
     limited_upstreams: Gauge<u64>,
     backing_off: Gauge<u64>,
     leaving_upstreams: Gauge<u64>,
-    unread_marks: Gauge<u64>,
+    unread_headers: Gauge<u64>,
 }
 
 impl Metrics {
-    /// Instruments that stand at zero.
+    /// Instruments at zero.
     pub fn new() -> Result<Metrics, Report<MetricsError>> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -70,7 +70,7 @@
             .with_boundaries(LATENCY_BOUNDS_S.to_vec())
             .with_description("Time from a request's arrival to its final answer")
             .build();
-        let picture_age = meter
+        let state_age = meter
             .f64_gauge("gateway_picture_age_seconds")
             .with_description("Age of what is believed to be published")
             .build();
@@ -78,18 +78,18 @@
             answers: counter("gateway_answers", "Upstreams' answers passed on, by route and class"),
             refusals: counter("gateway_refusals", "Final answers of the host, by route and cause"),
             latency,
-            sendings: counter("gateway_sendings", "Sendings to upstreams"),
-            repeats: counter("gateway_repeats", "Sendings beyond a request's first"),
-            asks: counter("gateway_health_checks", "Health checks sent to upstreams"),
+            attempts: counter("gateway_sendings", "Sendings to upstreams"),
+            retries: counter("gateway_repeats", "Sendings beyond a request's first"),
+            probes: counter("gateway_health_checks", "Health checks sent to upstreams"),
             connections: counter("gateway_connections_opened", "Connections opened to upstreams"),
             source_calls: gauge("gateway_source_calls", "Calls to the source of what is published"),
             peer_bytes: counter("gateway_peer_bytes", "Bytes sent to peers"),
-            callers_gone: counter("gateway_callers_gone", "Requests whose caller hung up"),
+            callers_hung_up: counter("gateway_callers_gone", "Requests whose caller hung up"),
             broken_off: counter(
                 "gateway_broken_off",
                 "Requests that an upstream broke off, by whether it crashed",
             ),
-            picture_age,
+            state_age,
             log_lines_dropped: gauge("gateway_log_lines_dropped", "Log lines dropped"),
             open_requests: gauge("gateway_open_requests", "Requests without a final answer"),
             quarantined: gauge(
@@ -116,7 +116,7 @@
                 "gateway_leaving_upstreams",
                 "Upstreams that said in their answers that they are leaving",
             ),
-            unread_marks: gauge(
+            unread_headers: gauge(
                 "gateway_unread_marks",
                 "Names of marks on upstreams' answers that nothing reads",
             ),
@@ -125,7 +125,7 @@
         })
     }
 
-    /// An upstream's answer was passed on.
+    /// Counts an upstream's response that was forwarded, and records its latency.
     pub fn response_forwarded(&self, route: &str, status: u16, after: Duration) {
         let class = KeyValue::new("class", i64::from(status / 100));
         let route = KeyValue::new("route", route.to_owned());
@@ -133,46 +133,46 @@
         self.answers.add(1, &[route, class]);
     }
 
-    /// The host gave a final answer of its own.
+    /// Counts a request that the host refused.
     pub fn request_refused(&self, route: &str, cause: Cause) {
         let cause = KeyValue::new("cause", cause.as_str());
         self.refusals.add(1, &[KeyValue::new("route", route.to_owned()), cause]);
     }
 
-    /// A request left for an upstream.
+    /// Counts an attempt that was sent to an upstream.
     pub fn attempt_sent(&self, is_retry: bool) {
-        self.sendings.add(1, &[]);
+        self.attempts.add(1, &[]);
         if is_retry {
-            self.repeats.add(1, &[]);
+            self.retries.add(1, &[]);
         }
     }
 
-    /// A health check was sent.
+    /// Counts a health check that was sent to an upstream.
     pub fn probe_sent(&self) {
-        self.asks.add(1, &[]);
+        self.probes.add(1, &[]);
     }
 
-    /// A connection to an upstream was opened.
+    /// Counts a connection that was opened to an upstream.
     pub fn connection_opened(&self) {
         self.connections.add(1, &[]);
     }
 
-    /// Bytes went to peers.
+    /// Counts bytes that were sent to peers.
     pub fn peer_bytes_sent(&self, bytes: usize) {
         self.peer_bytes.add(bytes as u64, &[]);
     }
 
-    /// A caller hung up.
+    /// Counts a request whose caller hung up.
     pub fn caller_hung_up(&self) {
-        self.callers_gone.add(1, &[]);
+        self.callers_hung_up.add(1, &[]);
     }
 
-    /// An upstream broke off a request, and crashed or is still there.
+    /// Counts a request that an upstream broke off, by whether the upstream crashed.
     pub fn upstream_broke_off(&self, has_crashed: bool) {
         self.broken_off.add(1, &[KeyValue::new("has_crashed", has_crashed)]);
     }
 
-    /// Notes what is only looked at when asked.
+    /// Sets the gauges, which is done only when metrics are fetched.
     pub fn record_state(&self, state: &StateFigures) {
         self.source_calls.record(state.source_calls, &[]);
         self.log_lines_dropped.record(state.log_lines_dropped, &[]);
@@ -183,42 +183,42 @@
         self.limited_upstreams.record(state.limited_upstreams, &[]);
         self.backing_off.record(state.backing_off, &[]);
         self.leaving_upstreams.record(state.leaving_upstreams, &[]);
-        self.unread_marks.record(state.unread_marks, &[]);
-        if let Some(age) = state.picture_age {
-            self.picture_age.record(age.as_secs_f64(), &[]);
+        self.unread_headers.record(state.unread_headers, &[]);
+        if let Some(age) = state.state_age {
+            self.state_age.record(age.as_secs_f64(), &[]);
         }
     }
 
-    /// Everything, as text.
+    /// All metrics as text.
     pub fn render(&self) -> String {
-        // Text of gathered families can't fail but for a family without samples, which is none.
+        // Encoding fails only for a metric family without samples, and none is gathered.
         TextEncoder::new().encode_to_string(&self.registry.gather()).unwrap_or_default()
     }
 }
 
-/// Figures that are noted when metrics are asked for.
+/// The values of the gauges.
 #[derive(Debug, Clone, Copy)]
 pub struct StateFigures {
     /// Calls to the source.
     pub source_calls: u64,
     /// Log lines dropped.
     pub log_lines_dropped: u64,
-    /// Requests without a final answer.
+    /// Requests without a final response.
     pub open_requests: u64,
-    /// Requests that are held back.
+    /// Requests in quarantine.
     pub quarantined: u64,
     /// Availability zones that are evacuated.
     pub evacuated_zones: u64,
     /// Upstreams that are cold, or may be.
     pub cold_upstreams: u64,
-    /// Upstreams that limit the requests that they take.
+    /// Upstreams that state a rate limit.
     pub limited_upstreams: u64,
-    /// Upstreams that this host leaves alone, as they asked it to.
+    /// Upstreams that asked this host to back off.
     pub backing_off: u64,
-    /// Upstreams that said that they are leaving.
+    /// Upstreams that state that they are leaving.
     pub leaving_upstreams: u64,
-    /// Names of marks on upstreams' answers that nothing reads.
-    pub unread_marks: u64,
-    /// Age of the picture.
-    pub picture_age: Option<Duration>,
+    /// Names of headers of upstreams' responses that nothing reads.
+    pub unread_headers: u64,
+    /// Age of the published state, as this host knows it.
+    pub state_age: Option<Duration>,
 }
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -1,4 +1,4 @@
-//! Readiness for the platform, and metrics and state for operators.
+//! Serves readiness checks to the platform, and metrics and the state dump to operators.
 
 use crate::host::{ACCEPT_PAUSE, Host};
 use crate::http1::{RequestHead, ResponseWriter, read_request};
@@ -15,16 +15,16 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Largest head of a question.
+/// Largest head of a request.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
 
-/// Time within which the next question on a connection has to come.
-const IDLE: Duration = Duration::from_secs(20);
+/// Time after which a connection without a request is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Path under which a request's quarantine is lifted, before its fingerprint.
+/// Prefix of the path that lifts a request's quarantine; the fingerprint follows.
 const LIFT_PATH: &str = "/quarantine/lift/";
 
-/// What a listener answers.
+/// Who a listener serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Audience {
     /// The platform: readiness only.
@@ -33,12 +33,12 @@
     Operators,
 }
 
-/// State of the process, on request.
+/// State of the process, as `/state` shows it.
 #[derive(Debug, Serialize)]
 struct StateDump {
     host: String,
     is_ready: bool,
-    /// Only some upstreams are known yet.
+    /// Whether only some upstreams are known yet.
     is_partial: bool,
     is_stopping: bool,
     open_requests: usize,
@@ -48,17 +48,17 @@
     revision: Revision,
     picture_age_ms: Option<Millis>,
     idle_connections: usize,
-    /// Requests that upstreams crashed under, those that are held back first.
+    /// Requests that crashed upstreams, quarantined ones first.
     quarantine: Vec<SuspectDump>,
     upstreams: Vec<UpstreamDump>,
 }
 
-/// A zone that is evacuated, and the change that says so.
+/// A zone that is evacuated, and the revision at which that was published.
 #[derive(Debug, Serialize)]
 struct EvacuationDump {
     zone: ZoneName,
     revision: Revision,
-    /// Upstreams there that get nothing new for it.
+    /// Number of upstreams in the zone, which get no new requests.
     upstreams: usize,
 }
 
@@ -70,31 +70,31 @@
     failure_share: f64,
     slowness: f64,
     is_avoided: bool,
-    /// Whether it may get new requests, and why not.
+    /// Whether it may get new requests, or why not.
     eligibility: Eligibility,
     warmth: Warmth,
-    /// For so long this host leaves it alone, as it was asked to.
+    /// Time for which this host still backs off, as the upstream asked it to.
     backs_off_ms: Option<Millis>,
-    /// Requests a second that it takes from all hosts; none if it takes what comes.
+    /// Limit on the rate of requests from all hosts, if the upstream stated one.
     rate_limit: Option<RateLimitDump>,
 }
 
-/// A rate of the whole fleet, and for how long it has held.
+/// A rate limit that applies to the whole fleet, and since when.
 #[derive(Debug, Serialize)]
 struct RateLimitDump {
     per_s: PerSecond,
     age_ms: Millis,
 }
 
-/// Answers questions; never ends.
+/// Accepts connections and serves them. Never returns.
 pub async fn listen(host: Rc<Host>, listener: TcpListener, audience: Audience) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let host = Rc::clone(&host);
                 tokio::task::spawn_local(async move {
-                    // Whoever asked and is gone asks again.
-                    let _ = answer_all(&host, stream, audience).await;
+                    // After an error the client connects again.
+                    let _ = serve_connection(&host, stream, audience).await;
                 });
             }
             Err(_) => clock::sleep(ACCEPT_PAUSE).await,
@@ -102,12 +102,16 @@
     }
 }
 
-async fn answer_all(host: &Host, mut stream: TcpStream, audience: Audience) -> std::io::Result<()> {
+async fn serve_connection(
+    host: &Host,
+    mut stream: TcpStream,
+    audience: Audience,
+) -> std::io::Result<()> {
     let mut buffer = Vec::new();
     loop {
         match read_request(&mut buffer, MAX_HEAD_BYTES) {
             Ok(Some(head)) => {
-                let bytes = answer(host, &head, audience, !head.keeps_alive);
+                let bytes = respond(host, &head, audience, !head.keeps_alive);
                 stream.write_all(&bytes).await?;
                 if !head.keeps_alive {
                     return stream.shutdown().await;
@@ -115,7 +119,7 @@
             }
             Ok(None) => {
                 let reading = stream.read_buf(&mut buffer);
-                match clock::timeout(IDLE, reading).await {
+                match clock::timeout(IDLE_TIMEOUT, reading).await {
                     Ok(Ok(read)) if read > 0 => {}
                     _ => return Ok(()),
                 }
@@ -125,21 +129,21 @@
     }
 }
 
-fn answer(host: &Host, head: &RequestHead, audience: Audience, closes: bool) -> Vec<u8> {
-    let lifted = match head.method.as_str() {
+fn respond(host: &Host, head: &RequestHead, audience: Audience, closes: bool) -> Vec<u8> {
+    let fingerprint_to_lift = match head.method.as_str() {
         "POST" if audience == Audience::Operators => head.path().strip_prefix(LIFT_PATH),
         _ => None,
     };
-    let (status, kind, body) = match head.path() {
+    let (status, content_type, body) = match head.path() {
         path if path == host.dialect.ready_path => readiness(host),
         "/metrics" if audience == Audience::Operators => metrics(host),
         "/state" if audience == Audience::Operators => state(host),
-        _ => match lifted {
+        _ => match fingerprint_to_lift {
             Some(fingerprint) => lift(host, fingerprint),
             None => (404, "text/plain", "nothing here\n".to_owned()),
         },
     };
-    let writer = ResponseWriter::new(status).field("content-type", kind.as_bytes());
+    let writer = ResponseWriter::new(status).field("content-type", content_type.as_bytes());
     writer.body(status, body.as_bytes(), closes)
 }
 
@@ -176,24 +180,24 @@
             .upstreams_in_backoff(host.now_ms())
             .count() as u64,
         leaving_upstreams: host.upstreams.borrow().backpressure().count_leaving() as u64,
-        unread_marks: host.unread_headers.borrow().count_names() as u64,
-        picture_age: host.state_age_ms().map(crate::host::to_duration),
+        unread_headers: host.unread_headers.borrow().count_names() as u64,
+        state_age: host.state_age_ms().map(crate::host::to_duration),
     });
     (200, "text/plain; version=0.0.4", host.metrics.render())
 }
 
-fn evacuated_zones(picture: &PublishedState) -> Vec<EvacuationDump> {
+fn evacuated_zones(published: &PublishedState) -> Vec<EvacuationDump> {
     let dump = |(zone, revision): (&ZoneName, Revision)| EvacuationDump {
         zone: zone.clone(),
         revision,
-        upstreams: picture.upstreams_in(zone),
+        upstreams: published.upstreams_in(zone),
     };
-    picture.evacuations().in_force().map(dump).collect()
+    published.evacuations().in_force().map(dump).collect()
 }
 
 fn state(host: &Host) -> (u16, &'static str, String) {
     let now_ms = host.now_ms();
-    let picture = host.published_state();
+    let published = host.published_state();
     let upstreams = host.upstreams.borrow();
     let dump_upstream = |entry: &Entry<Arc<Upstream>>| {
         let known = upstreams.get(&entry.value.id)?;
@@ -219,13 +223,13 @@
         is_stopping: host.is_stopping(),
         open_requests: host.open_requests.get(),
         hosts: host.host_count(),
-        evacuated_zones: evacuated_zones(&picture),
-        routing_version: picture.routing().map(|entry| entry.value.version.to_string()),
-        revision: picture.revision(),
-        picture_age_ms: picture.age_ms(now_ms),
+        evacuated_zones: evacuated_zones(&published),
+        routing_version: published.routing().map(|entry| entry.value.version.to_string()),
+        revision: published.revision(),
+        picture_age_ms: published.age_ms(now_ms),
         idle_connections: host.pool.borrow().len(),
         quarantine: host.quarantine.borrow().dump(now_ms),
-        upstreams: picture.upstreams().filter_map(dump_upstream).collect(),
+        upstreams: published.upstreams().filter_map(dump_upstream).collect(),
     };
     match serde_json::to_string_pretty(&dump) {
         Ok(text) => (200, "application/json", text),
--- a/crates/gateway/tests/docs.rs
+++ b/crates/gateway/tests/docs.rs
@@ -23,7 +23,7 @@
     metrics.peer_bytes_sent(3);
     metrics.caller_hung_up();
     metrics.upstream_broke_off(true);
-    let picture_age = Some(Duration::ZERO);
+    let state_age = Some(Duration::ZERO);
     let figures = StateFigures {
         source_calls: 1,
         log_lines_dropped: 0,
@@ -34,8 +34,8 @@
         limited_upstreams: 0,
         backing_off: 0,
         leaving_upstreams: 0,
-        unread_marks: 0,
-        picture_age,
+        unread_headers: 0,
+        state_age,
     };
     metrics.record_state(&figures);
     let (page, text) = (page(), metrics.render());
