--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,23 +1,22 @@
-//! The entry host's process where upstreams register themselves and no list of hosts is
-//! published.
+//! The process of a host, where upstreams register themselves and no list of hosts is published.
 //!
-//! The IO shell around two pure crates: [`published`] (what is believed, who reads it) and
-//! [`dispatch`] (where requests go, what may be repeated). One thread runs everything, so
-//! state is shared without locks.
+//! It does the IO for two pure crates: [`published`] (the published state and how it spreads) and
+//! [`dispatch`] (which upstream gets a request, and what may be retried). One thread runs
+//! everything, so state is shared without locks.
 //!
-//! - [`http1`]: the framing of requests and answers, around the `httparse` library
-//! - [`ingress`]: callers' connections; [`serve`]: one request from arrival to answer
-//! - [`placement`]: places at upstreams, from whoever schedules a service
-//! - [`connection`], [`pool`], [`probe`]: upstreams' connections, and asking before sending
-//! - [`quarantine`]: requests that crash upstreams, seen and told
-//! - [`source_reader`], [`peers`], [`fleet_message`]: what is published, from the source or from peers, and
-//!   what else hosts tell each other
-//! - [`backpressure`]: what upstreams say of the load that they bear, read and told
-//! - [`unread_headers`]: what upstreams say that nothing reads
-//! - [`event_log`], [`metrics`], [`operator`]: what it tells operators
+//! - [`http1`]: the framing of requests and responses, with the `httparse` library
+//! - [`ingress`]: callers' connections; [`serve`]: one request from arrival to response
+//! - [`placement`]: placements of requests at upstreams, by the scheduler of a service
+//! - [`connection`], [`pool`], [`probe`]: connections to upstreams, and probes before sending
+//! - [`quarantine`]: detects requests that crash upstreams, and informs the other hosts
+//! - [`source_reader`], [`peers`], [`fleet_message`]: the published state, read from the source or
+//!   received from peers, and other messages between hosts
+//! - [`backpressure`]: upstreams' rate limits and backoffs, read from responses and from peers
+//! - [`unread_headers`]: headers of upstreams' responses that nothing reads
+//! - [`event_log`], [`metrics`], [`operator`]: logs, metrics and the state dump, for operators
 //! - [`run`]: start, reload, stop
 //!
-//! Whoever embeds it hands over a [`source::Source`] and a [`dialect::Dialect`].
+//! A program that embeds it provides a [`source::Source`] and a [`dialect::Dialect`].
 
 pub mod backpressure;
 pub mod connection;
