--- a/crates/gateway/tests/backpressure.rs
+++ b/crates/gateway/tests/backpressure.rs
@@ -1,4 +1,4 @@
-//! What upstreams say of the load that they bear, as the process reads and tells it.
+//! Rate limits, backoffs and leaving flags that upstreams state: how they are read, and sent to peers.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -33,9 +33,9 @@
     assert_eq!(read_decimal(value.as_bytes()), wanted);
 }
 
-/// Whatever bytes come, reading them gives a sound number or none.
+/// Any bytes are read as a finite, non-negative number or as none.
 #[test]
-fn no_bytes_are_read_as_a_number_that_is_none() {
+fn no_bytes_are_read_as_an_invalid_number() {
     let alphabet = b"0123456789.,-+eEinfNa \xff\x00";
     let mut state = 7_u64;
     for _ in 0..200_000 {
@@ -52,8 +52,8 @@
     }
 }
 
-/// A host that passed one request on, to an upstream which says something with its answer.
-struct Asked {
+/// A host that forwarded one request to an upstream that added headers to its response.
+struct OneRequest {
     caller: Caller,
     status: u16,
     upstream: StandInUpstream,
@@ -61,14 +61,14 @@
     _published: Published,
 }
 
-async fn asked_once(says: &[&str], act: Act) -> Asked {
+async fn send_one_request(says: &[&str], act: Act) -> OneRequest {
     let upstream = StandInUpstream::start("i-1").await;
     let (gateway, published) = ready(&[&upstream]).await;
     upstream.says(says);
     upstream.plays([act]);
     let mut caller = Caller::connect(callers(&gateway)).await;
     let status = caller.ask(&post("/once/x", "id-1", "{}")).await.status;
-    Asked { caller, status, upstream, gateway, _published: published }
+    OneRequest { caller, status, upstream, gateway, _published: published }
 }
 
 fn limit(gateway: &Gateway, id: &str) -> Option<f64> {
@@ -78,24 +78,27 @@
 }
 
 #[rstest]
-#[case::named(&["x-upstream-limit: 2.6"], Some(2.6))]
+#[case::stated(&["x-upstream-limit: 2.6"], Some(2.6))]
 #[case::the_smallest_of_two(&["x-upstream-limit: 9", "x-upstream-limit: 3"], Some(3.0))]
 #[case::unreadable(&["x-upstream-limit: 2,6"], None)]
 #[case::one_unreadable(&["x-upstream-limit: much", "x-upstream-limit: 4"], Some(4.0))]
-fn an_answer_tells_its_limit(#[case] lines: &'static [&'static str], #[case] wanted: Option<f64>) {
+fn a_response_states_a_rate_limit(
+    #[case] lines: &'static [&'static str],
+    #[case] wanted: Option<f64>,
+) {
     on_one_thread(async move {
-        let asked = asked_once(lines, Act::Answer).await;
-        assert_eq!(asked.status, 200);
-        assert_eq!(limit(&asked.gateway, "i-1"), wanted);
+        let result = send_one_request(lines, Act::Answer).await;
+        assert_eq!(result.status, 200);
+        assert_eq!(limit(&result.gateway, "i-1"), wanted);
     });
 }
 
 #[test]
-fn what_is_passed_on_without_a_seal_counts() {
+fn a_delivered_response_counts_without_a_seal() {
     on_one_thread(async {
-        let asked = asked_once(&["x-upstream-limit: 2"], Act::Bare(404)).await;
-        assert_eq!(asked.status, 404);
-        assert_eq!(limit(&asked.gateway, "i-1"), Some(2.0));
+        let result = send_one_request(&["x-upstream-limit: 2"], Act::Bare(404)).await;
+        assert_eq!(result.status, 404);
+        assert_eq!(limit(&result.gateway, "i-1"), Some(2.0));
     });
 }
 
@@ -103,10 +106,10 @@
 #[case::unsealed(Act::Bare(503))]
 #[case::cut_short(Act::Cut)]
 #[case::no_seal(Act::NoSeal)]
-fn what_an_upstream_did_not_surely_say_is_not_taken(#[case] act: Act) {
+fn a_response_that_may_not_be_the_upstreams_is_ignored(#[case] act: Act) {
     on_one_thread(async move {
-        let asked = asked_once(&["x-upstream-limit: 2"], act).await;
-        assert_eq!(limit(&asked.gateway, "i-1"), None);
+        let result = send_one_request(&["x-upstream-limit: 2"], act).await;
+        assert_eq!(limit(&result.gateway, "i-1"), None);
     });
 }
 
@@ -116,7 +119,7 @@
     gateway.host().upstreams.borrow().remaining_backoff(now_ms, &id).map(|left_ms| left_ms.0)
 }
 
-/// Hosts draw the time out by up to a tenth.
+/// Hosts extend the time by up to a tenth.
 #[rstest]
 #[case::seconds(&["retry-after: 3"], Some(3_000))]
 #[case::fraction(&["retry-after: 1.5"], Some(1_500))]
@@ -127,7 +130,7 @@
 #[case::date(&["retry-after: Wed, 21 Oct 2026 07:28:00 GMT"], None)]
 #[case::date_and_seconds(&["retry-after: soon", "retry-after: 3"], Some(3_000))]
 #[case::none(&[], None)]
-fn a_refusal_tells_for_how_long_to_stay_away(
+fn a_refusal_states_a_backoff(
     #[case] lines: &'static [&'static str],
     #[case] wanted_ms: Option<u64>,
 ) {
@@ -151,26 +154,26 @@
     });
 }
 
-/// Only a refusal asks for it: the same words on what was served are for the caller, and a proxy on the
-/// way is not the upstream.
+/// Only a refusal by the upstream states a backoff: `retry-after` on a served response is for the
+/// caller, and a response of a proxy isn't the upstream's.
 #[rstest]
 #[case::served(Act::Answer)]
 #[case::failed(Act::Status(500))]
 #[case::unsealed_and_unmarked(Act::Bare(503))]
-fn what_is_no_refusal_of_the_upstream_asks_for_nothing(#[case] act: Act) {
+fn a_response_that_is_no_refusal_states_no_backoff(#[case] act: Act) {
     on_one_thread(async move {
-        let asked = asked_once(&["retry-after: 3"], act).await;
-        assert_eq!(backs_off_ms(&asked.gateway, "i-1"), None);
+        let result = send_one_request(&["retry-after: 3"], act).await;
+        assert_eq!(backs_off_ms(&result.gateway, "i-1"), None);
     });
 }
 
 #[test]
-fn where_all_upstreams_asked_to_stay_away_callers_are_told_at_once_when_the_first_is_free() {
+fn if_all_upstreams_are_in_backoff_requests_are_refused_at_once_with_retry_after() {
     on_one_thread(async {
         let upstreams = [StandInUpstream::start("i-1").await, StandInUpstream::start("i-2").await];
         let (gateway, _published) = ready(&[&upstreams[0], &upstreams[1]]).await;
-        for (upstream, rest) in upstreams.iter().zip(["retry-after: 30", "retry-after: 1"]) {
-            upstream.says(&[rest]);
+        for (upstream, backoff) in upstreams.iter().zip(["retry-after: 30", "retry-after: 1"]) {
+            upstream.says(&[backoff]);
             upstream.plays([Act::Shed]);
         }
         let mut caller = Caller::connect(callers(&gateway)).await;
@@ -185,13 +188,13 @@
         }
         assert_eq!(upstreams.iter().map(|it| it.seen().len()).sum::<usize>(), 2);
         let is_free = || backs_off_ms(&gateway, "i-2").is_none();
-        until("the first is free", is_free).await;
+        until("the first backoff is over", is_free).await;
         assert_eq!(caller.ask(&get("/any/x", "id-9")).await.status, 200);
     });
 }
 
 #[test]
-fn what_one_host_hears_all_know_and_one_that_starts_later_asks() {
+fn a_stated_limit_reaches_all_hosts_and_one_that_starts_later() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let published = published(&[&upstream]);
@@ -221,7 +224,7 @@
 }
 
 #[test]
-fn where_all_upstreams_are_limited_callers_are_told_at_once_when_to_come_back() {
+fn if_all_upstreams_are_rate_limited_requests_are_refused_at_once_with_retry_after() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _published) = ready(&[&upstream]).await;
@@ -250,23 +253,23 @@
 #[case::not_leaving(&["x-upstream-leaving: 0"], false)]
 #[case::unreadable(&["x-upstream-leaving: soon"], false)]
 #[case::one_of_two(&["x-upstream-leaving: 0", "x-upstream-leaving: 1"], true)]
-fn an_answer_tells_that_its_upstream_leaves(
+fn a_response_states_that_its_upstream_leaves(
     #[case] lines: &'static [&'static str],
     #[case] wanted: bool,
 ) {
     on_one_thread(async move {
-        let mut asked = asked_once(lines, Act::Answer).await;
-        assert_eq!(asked.status, 200);
-        let got = asked.caller.ask(&post("/once/x", "id-2", "{}")).await;
+        let mut result = send_one_request(lines, Act::Answer).await;
+        assert_eq!(result.status, 200);
+        let got = result.caller.ask(&post("/once/x", "id-2", "{}")).await;
         let refused = (503, "no-upstream", true);
         let told = (got.status, got.cause.as_str(), got.retry_after.is_some());
         assert_eq!(told == refused, wanted, "{told:?}");
-        assert_eq!(asked.upstream.seen().len(), if wanted { 1 } else { 2 });
+        assert_eq!(result.upstream.seen().len(), if wanted { 1 } else { 2 });
     });
 }
 
 #[test]
-fn what_runs_at_an_upstream_that_says_it_leaves_ends_there() {
+fn requests_in_flight_at_a_leaving_upstream_complete() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _published) = ready(&[&upstream]).await;
--- a/crates/gateway/tests/crashing_requests.rs
+++ b/crates/gateway/tests/crashing_requests.rs
@@ -1,13 +1,5 @@
-//! A request that ends each upstream that runs it, again and again.
-//!
-//! Callers of one service were refused by hundreds for a quarter of a minute, three times in a
-//! day. One request ended every upstream that began to run it. The host sent it to a second
-//! upstream when the first broke off, its caller came again through another host, under
-//! another id, and each host took each arrival for a request like any other; upstreams were
-//! back after three seconds and ended again.
-//!
-//! The evidence: without a word between hosts 28 to 32 upstreams end in 18 arrivals, and the
-//! digest of what is asked is the same in every line of a crash; with it three do.
+//! A request that crashes every upstream that runs it, and is retried by its caller at other hosts,
+//! under other ids. It must be quarantined before it crashes all upstreams of its service.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -25,13 +17,13 @@
 };
 use tokio::task::JoinHandle;
 
-/// Upstreams that a request may end before all hosts leave it alone.
-const MOST_ENDED: u32 = 3;
+/// Most upstreams that a request may crash before all hosts quarantine it.
+const MOST_CRASHES: u32 = 3;
 
-/// Upstreams of the service.
+/// Number of upstreams of the service.
 const UPSTREAMS: usize = 6;
 
-/// Time between two arrivals of the request: what one takes, and a word between hosts.
+/// Time between two arrivals of the request: its duration, and a message between hosts.
 const PAUSE: Duration = Duration::from_millis(60);
 
 struct Site {
@@ -41,7 +33,7 @@
 }
 
 impl Site {
-    /// Three hosts before upstreams that a request for `target` ends.
+    /// Starts three hosts, and upstreams that a request for `target` crashes.
     async fn start(target: &str) -> Site {
         let mut upstreams = Vec::new();
         for number in 0..UPSTREAMS {
@@ -64,7 +56,7 @@
         until("all know the upstreams", || self.hosts.iter().all(knows)).await;
     }
 
-    fn ended(&self) -> u32 {
+    fn crashes(&self) -> u32 {
         self.upstreams.iter().map(StandInUpstream::crashes).sum()
     }
 
@@ -72,25 +64,25 @@
         self.upstreams.iter().map(|upstream| upstream.runs_of(target)).sum()
     }
 
-    /// The answer of one of the hosts, on a connection of its own.
+    /// Sends a request to one of the hosts on a new connection, and returns the response.
     async fn ask(&self, host: usize, text: &str) -> Got {
         Caller::connect(callers(&self.hosts[host % self.hosts.len()])).await.ask(text).await
     }
 
-    /// The same, side by side with what follows.
-    fn ask_later(&self, host: usize, text: String) -> JoinHandle<Got> {
+    /// The same in a task of its own.
+    fn spawn_ask(&self, host: usize, text: String) -> JoinHandle<Got> {
         let address = callers(&self.hosts[host % self.hosts.len()]);
         tokio::task::spawn_local(async move { Caller::connect(address).await.ask(&text).await })
     }
 
-    /// The request arrives at one host after the other, under an id of its own each time.
-    async fn play(&self, arrivals: usize, request: fn(&str) -> String) -> Vec<Got> {
-        let mut answers = Vec::new();
+    /// Sends the request to one host after the other, under another id each time.
+    async fn send_repeatedly(&self, arrivals: usize, request: fn(&str) -> String) -> Vec<Got> {
+        let mut responses = Vec::new();
         for number in 0..arrivals {
-            answers.push(self.ask(number, &request(&format!("id-{number}"))).await);
+            responses.push(self.ask(number, &request(&format!("id-{number}"))).await);
             tokio::time::sleep(PAUSE).await;
         }
-        answers
+        responses
     }
 }
 
@@ -102,31 +94,31 @@
     post("/once/bad", id, "{\"pack\":7}")
 }
 
-/// Once it has ended a few, each host refuses it at once and says truly that it has not run.
+/// After a few crashes each host refuses the request at once, and states that it hasn't run.
 #[rstest]
 #[case::idempotent("/any/bad?page=1", read)]
 #[case::at_most_once("/once/bad", order)]
-fn a_request_that_ends_upstreams_is_left_alone(
+fn a_request_that_crashes_upstreams_is_quarantined(
     #[case] target: &str,
     #[case] request: fn(&str) -> String,
 ) {
     on_one_thread(async {
         let site = Site::start(target).await;
-        let answers = site.play(18, request).await;
-        assert!(site.ended() <= MOST_ENDED, "{} ended", site.ended());
+        let responses = site.send_repeatedly(18, request).await;
+        assert!(site.crashes() <= MOST_CRASHES, "{} crashes", site.crashes());
         let runs = site.runs_of(target);
-        for got in &answers[answers.len() - 9..] {
+        for got in &responses[responses.len() - 9..] {
             assert_eq!(got.status, 503, "{got:?}");
             assert!(got.retry_after.is_some(), "{got:?}");
         }
-        site.play(3, request).await;
-        assert_eq!(site.runs_of(target), runs, "what is left alone is not sent");
+        site.send_repeatedly(3, request).await;
+        assert_eq!(site.runs_of(target), runs, "a quarantined request is not sent");
     });
 }
 
-/// It comes from other addresses: upstreams don't see them, so they can't be what crashes them.
+/// The request comes from different addresses, which aren't part of its fingerprint.
 #[test]
-fn a_request_that_ends_upstreams_is_left_alone_wherever_it_comes_from() {
+fn a_request_that_crashes_upstreams_is_quarantined_from_any_address() {
     on_one_thread(async {
         let site = Site::start("/any/bad?page=1").await;
         for number in 0..18 {
@@ -136,17 +128,17 @@
             caller.ask(&read(&format!("id-{number}"))).await;
             tokio::time::sleep(PAUSE).await;
         }
-        assert!(site.ended() <= MOST_ENDED, "{} ended", site.ended());
+        assert!(site.crashes() <= MOST_CRASHES, "{} crashes", site.crashes());
     });
 }
 
-/// An upstream that fails requests before it runs them clears nothing.
+/// An upstream that fails requests before it runs them doesn't clear the request.
 #[test]
-fn a_request_that_ends_upstreams_is_left_alone_whatever_others_fail() {
+fn a_request_that_crashes_upstreams_is_not_cleared_by_an_error_response() {
     on_one_thread(async {
         let site = Site::start("/any/bad?page=1").await;
-        site.play(1, read).await;
-        assert_eq!(site.ended(), 2);
+        site.send_repeatedly(1, read).await;
+        assert_eq!(site.crashes(), 2);
         let failing = StandInUpstream::start("i-failing").await;
         failing.plays([Act::Status(500), Act::Status(500)]);
         site.publish(&failing);
@@ -156,102 +148,103 @@
         assert!(!failing.seen().is_empty());
         site.upstreams.iter().for_each(|upstream| site.publish(upstream));
         site.until_all_know(UPSTREAMS + 1).await;
-        site.play(18, read).await;
-        assert!(site.ended() <= MOST_ENDED, "{} ended", site.ended());
+        site.send_repeatedly(18, read).await;
+        assert!(site.crashes() <= MOST_CRASHES, "{} crashes", site.crashes());
     });
 }
 
-/// A host whose caller got the failure of another upstream tells of the crash before it, too.
+/// A crash is sent to peers, too, if the caller gets the error response of another upstream.
 #[test]
-fn a_request_that_ends_upstreams_is_left_alone_though_its_second_answer_is_a_failure() {
+fn a_request_that_crashes_upstreams_is_quarantined_though_its_retry_gets_an_error_response() {
     on_one_thread(async {
         let site = Site::start("/any/bad?page=1").await;
         let failing = StandInUpstream::start("i-failing").await;
         failing.plays(vec![Act::Status(500); 100]);
         site.publish(&failing);
         site.until_all_know(UPSTREAMS + 1).await;
-        site.play(30, read).await;
-        assert!(site.ended() <= MOST_ENDED, "{} ended", site.ended());
+        site.send_repeatedly(30, read).await;
+        assert!(site.crashes() <= MOST_CRASHES, "{} crashes", site.crashes());
     });
 }
 
-/// A host that starts afterwards, or was not told at the time, leaves it alone as well.
+/// A host that starts later quarantines the request as well.
 #[test]
-fn a_request_that_ends_upstreams_is_left_alone_by_a_host_that_starts_later() {
+fn a_request_that_crashes_upstreams_is_quarantined_by_a_host_that_starts_later() {
     on_one_thread(async {
         let mut site = Site::start("/any/bad?page=1").await;
-        site.play(9, read).await;
+        site.send_repeatedly(9, read).await;
         let seed = site.hosts[0].host().settings.borrow().peers;
         site.hosts.push(start(settings(&[seed]), &site.published).await);
         let later = site.hosts.len() - 1;
         until("it knows the others", || knows(&site.hosts[later], site.hosts.len())).await;
-        let before = site.ended();
+        let before = site.crashes();
         for number in 0..3 {
             assert_eq!(site.ask(later, &read(&format!("later-{number}"))).await.status, 503);
         }
-        assert_eq!(site.ended(), before);
+        assert_eq!(site.crashes(), before);
     });
 }
 
-/// A wrong verdict is lifted at one host, for all.
+/// A quarantine that an operator lifts at one host is lifted on all hosts.
 #[test]
 fn an_operator_lifts_the_quarantine_on_all_hosts() {
     on_one_thread(async {
         let site = Site::start("/any/bad?page=1").await;
-        site.play(9, read).await;
-        let held = || {
+        site.send_repeatedly(9, read).await;
+        let quarantined = || {
             let of = |host: &Gateway| host.host().quarantine.borrow().dump(host.host().now_ms());
             site.hosts.iter().flat_map(of).collect::<Vec<_>>()
         };
-        until("all hold it back", || held().len() == site.hosts.len()).await;
+        until("all hosts quarantine it", || quarantined().len() == site.hosts.len()).await;
         let operator = site.hosts[1].host().settings.borrow().operator.unwrap();
         let lift = |fingerprint: &str| {
             format!("POST /quarantine/lift/{fingerprint} HTTP/1.1\r\nHost: x\r\n\r\n")
         };
-        let fingerprint = held()[0].fingerprint.to_string();
+        let fingerprint = quarantined()[0].fingerprint.to_string();
         let mut asking = Caller::connect(operator).await;
         assert_eq!(asking.ask(&lift("no-digest")).await.status, 400);
         assert_eq!(asking.ask(&lift(&"0".repeat(32))).await.status, 404);
         assert_eq!(asking.ask(&lift(&fingerprint)).await.status, 200);
-        until("nobody holds it back", || held().is_empty()).await;
+        until("no host quarantines it", || quarantined().is_empty()).await;
         let before = site.runs_of("/any/bad?page=1");
         site.ask(2, &read("id-lifted")).await;
         assert!(site.runs_of("/any/bad?page=1") > before);
     });
 }
 
-/// What runs beside it on the upstreams that end is served, also what many ask for alike.
+/// Other requests in flight at the crashed upstreams are served, also if many have the same
+/// fingerprint.
 #[test]
-fn a_request_that_ends_upstreams_is_left_alone_and_no_other() {
+fn only_the_request_that_crashes_upstreams_is_quarantined() {
     on_one_thread(async {
         let site = Site::start("/any/bad?page=1").await;
         let others = async {
-            let mut answers = Vec::new();
+            let mut responses = Vec::new();
             for number in 0..120 {
                 let popular = get("/any/popular", &format!("popular-{number}"));
-                answers.push(site.ask(number, &popular).await);
+                responses.push(site.ask(number, &popular).await);
                 let single = get(&format!("/any/single-{number}"), &format!("single-{number}"));
-                answers.push(site.ask(number, &single).await);
+                responses.push(site.ask(number, &single).await);
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
-            answers
+            responses
         };
-        let (_, others) = tokio::join!(site.play(12, read), others);
-        assert!(site.ended() <= MOST_ENDED, "{} ended", site.ended());
+        let (_, others) = tokio::join!(site.send_repeatedly(12, read), others);
+        assert!(site.crashes() <= MOST_CRASHES, "{} crashes", site.crashes());
         let refused: Vec<&Got> = others.iter().filter(|got| got.status != 200).collect();
         assert!(refused.is_empty(), "{refused:?}");
     });
 }
 
-/// A service whose upstreams all end at once, by themselves, is served when they are back,
-/// whatever they had at that moment.
+/// Requests that were in flight when all upstreams of a service crashed by themselves are served once
+/// the upstreams are back.
 #[test]
-fn what_upstreams_had_when_they_ended_by_themselves_is_served_afterwards() {
+fn requests_in_flight_in_unrelated_crashes_are_served_afterwards() {
     on_one_thread(async {
         let site = Site::start("/none").await;
         site.upstreams.iter().for_each(|upstream| upstream.plays([Act::Slow(2_000)]));
         let popular = |number: usize| get("/any/popular", &format!("id-{number}"));
-        let asking = (0..UPSTREAMS).map(|number| site.ask_later(number, popular(number)));
+        let asking = (0..UPSTREAMS).map(|number| site.spawn_ask(number, popular(number)));
         let asking: Vec<_> = asking.collect();
         until("all are asked", || site.runs_of("/any/popular") >= UPSTREAMS).await;
         site.upstreams.iter().for_each(StandInUpstream::crash);
@@ -270,8 +263,8 @@
         for number in 0..6 {
             let got = site.ask(number, &popular(100 + number)).await;
             let now_ms = site.hosts[0].host().now_ms();
-            let held = site.hosts[0].host().quarantine.borrow().dump(now_ms);
-            assert_eq!(got.status, 200, "{got:?}, {held:?}");
+            let quarantined = site.hosts[0].host().quarantine.borrow().dump(now_ms);
+            assert_eq!(got.status, 200, "{got:?}, {quarantined:?}");
         }
     });
 }
--- a/crates/gateway/tests/scheduling.rs
+++ b/crates/gateway/tests/scheduling.rs
@@ -1,4 +1,4 @@
-//! Hosts that place their requests through one of them, and do without it where it is silent.
+//! Hosts whose requests are placed by one scheduler, and which bypass it if it doesn't respond.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -14,14 +14,14 @@
 use support::upstream::{Act, StandInUpstream};
 use support::{callers, on_one_thread, ready, service, settings, start, until, upstream_item};
 
-/// Slowed by neighbours: nobody sends there without asking the scheduler.
+/// Load of an upstream that is slowed down: no host sends to it without the scheduler.
 const NOT_IDLE: &str = "0,0,6,150";
 
 fn cell() -> Cell {
     Cell { service: service(), zone: None }
 }
 
-/// Who chose an upstream for each request that is in the log.
+/// What chose the upstream of each request in the log: a scheduler's host, or `asking`.
 fn chosen_by(gateway: &Gateway) -> Vec<String> {
     let log = gateway.host().log.take_buffered();
     let chosen = log.lines().filter(|line| line.contains("\"event\":\"chosen\""));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn requests_of_all_hosts_are_placed_by_one() {
+fn one_scheduler_places_the_requests_of_all_hosts() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         upstream.tells_load(NOT_IDLE);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn who_finds_an_idle_upstream_next_door_needs_no_scheduler() {
+fn a_request_for_an_idle_local_upstream_bypasses_the_scheduler() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _) = ready(&[&upstream]).await;
@@ -82,8 +82,8 @@
     });
 }
 
-/// A host that nobody hears, and that all others take for the scheduler.
-fn silent_scheduler(gateway: &Gateway) -> Member {
+/// A host that doesn't exist, and is the primary scheduler by the order of hosts.
+fn unresponsive_scheduler(gateway: &Gateway) -> Member {
     let own = gateway.host().members().own().clone();
     let silent = |number: u32| Member {
         host: format!("silent-{number}").parse().unwrap(),
@@ -100,7 +100,7 @@
     (0..).map(silent).find(is_chosen).unwrap()
 }
 
-fn introduce(gateway: &Gateway, from: Member) {
+fn send_hello(gateway: &Gateway, from: Member) {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let hello =
         Datagram::Gossip(Message::Hello { from, kind: HelloKind::Alive, members_digest: 0 });
@@ -109,13 +109,13 @@
 }
 
 #[test]
-fn a_silent_scheduler_is_done_without_and_then_passed_over() {
+fn an_unresponsive_scheduler_is_bypassed_and_then_excluded() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         upstream.tells_load(NOT_IDLE);
         let (gateway, _) = ready(&[&upstream]).await;
-        let silent = silent_scheduler(&gateway);
-        introduce(&gateway, silent.clone());
+        let unresponsive = unresponsive_scheduler(&gateway);
+        send_hello(&gateway, unresponsive.clone());
         until("it is heard of", || gateway.host().host_count() == 2).await;
         let mut caller = Caller::connect(callers(&gateway)).await;
         for round in 0..3 {
@@ -123,11 +123,11 @@
             assert_eq!(got.status, 200);
         }
         let own = gateway.host().members().own().host.to_string();
-        // Twice it says nothing, then the next host in order schedules.
+        // Two requests get no reply; then the next host in order schedules.
         assert_eq!(chosen_by(&gateway), ["asking", "asking", own.as_str()]);
         assert_eq!(upstream.seen().len(), 3);
-        // A new run of it is trusted again.
-        introduce(&gateway, Member { incarnation: Incarnation(2), ..silent });
+        // A new run of it is used again.
+        send_hello(&gateway, Member { incarnation: Incarnation(2), ..unresponsive });
         until("it is heard of", || gateway.host().log.take_buffered().contains("peers-heard"))
             .await;
         assert_eq!(caller.ask(&post("/once/x", "id-3", "{}")).await.status, 200);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_gives_its_place_back() {
+fn a_placement_is_released_when_its_caller_disconnects() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         upstream.tells_load(NOT_IDLE);
@@ -151,12 +151,12 @@
         };
         assert_eq!(open(), 1);
         drop(caller);
-        until("its place is free", || open() == 0).await;
+        until("its placement is released", || open() == 0).await;
     });
 }
 
 #[test]
-fn a_host_that_stops_schedules_no_more() {
+fn a_stopping_host_schedules_no_more() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         upstream.tells_load(NOT_IDLE);
@@ -174,7 +174,7 @@
         assert_eq!(chosen_by(other), [name(scheduler)]);
         let stopping = scheduler.stop();
         let asking = async {
-            until("its farewell is heard", || other.host().host_count() == 1).await;
+            until("its leaving is received", || other.host().host_count() == 1).await;
             let got = caller.ask(&post("/once/x", "id-1", "{}")).await;
             assert_eq!((got.status, chosen_by(other)), (200, vec![name(other)]));
         };
