--- a/crates/gateway/benches/quarantine.rs
+++ b/crates/gateway/benches/quarantine.rs
@@ -1,8 +1,5 @@
-//! What recognising a request costs: nothing in calm times, a digest while any is held against.
-//!
-//! Without quarantine a request costs none of it. With it, on a developer's machine that was busy
-//! otherwise: in calm times 0.7 ns; else the digest of a read 0.34 us, of an order of 2 kB 2.0 us, of
-//! 64 kB 50 us, and 6 ns to admit it beside a thousand suspects.
+//! Cost of quarantine per request: a check whether it is empty; otherwise, the request's fingerprint
+//! and its admission.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use dispatch::quarantine::{Crash, Quarantine};
@@ -18,7 +15,7 @@
 const HEAD: &str = "GET /packs/3d1030?page=37&sort=new HTTP/1.1\r\nHost: a.example\r\n\
                     X-Request-Id: 144e9da776d0f6bc\r\nX-Deadline-Ms: 497\r\n\r\n";
 
-/// Suspects that a host remembers at most.
+/// Most suspects that a host remembers.
 const SUSPECTS: u128 = 1_024;
 
 fn head() -> Option<RequestHead> {
@@ -40,7 +37,7 @@
     Some(quarantine)
 }
 
-fn recognising(criterion: &mut Criterion) {
+fn quarantine_checks(criterion: &mut Criterion) {
     let (Some(head), Some(suspects)) = (head(), suspects()) else { return };
     for bytes in [0, 2 * 1_024, 64 * 1_024] {
         let body = vec![b'x'; bytes];
@@ -49,13 +46,13 @@
         });
     }
     criterion.bench_function("calm: is_empty", |bencher| {
-        let calm = Quarantine::default();
-        bencher.iter(|| black_box(&calm).is_empty());
+        let empty = Quarantine::default();
+        bencher.iter(|| black_box(&empty).is_empty());
     });
     criterion.bench_function("admit beside a thousand suspects", |bencher| {
         bencher.iter(|| suspects.admit(Millis(100), black_box(RequestFingerprint(7))));
     });
 }
 
-criterion_group!(benches, recognising);
+criterion_group!(benches, quarantine_checks);
 criterion_main!(benches);
--- a/crates/gateway/tests/announced_leaving.rs
+++ b/crates/gateway/tests/announced_leaving.rs
@@ -1,12 +1,5 @@
-//! An upstream that leaves may say so in its answers before anything else tells.
-//!
-//! What happened: an entry may be a heartbeat old, or never say that its upstream leaves. A host that had
-//! handed such an answer to a caller sent on until the entry was gone, and an upstream that ends breaks off what it
-//! is given last.
-//!
-//! The cause: the same as for limits and for the time to stay away: a mark that nothing reads.
-//!
-//! The evidence: this test; 514 and 528 requests later than half a second after the first such answer.
+//! An upstream may announce in a response that it leaves, before its published entry says so. No host
+//! may send requests to it from then on, since an upstream that stops breaks those in flight.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -16,41 +9,41 @@
 use support::upstream::StandInUpstream;
 use support::{callers, fleet, on_one_thread, published, until};
 
-/// From then on none may arrive, from any host in touch.
+/// After this time no request may arrive from any host.
 const GRACE: Duration = Duration::from_millis(500);
 
 #[test]
-fn an_upstream_that_says_it_leaves_gets_nothing_new_from_any_host() {
+fn an_upstream_that_announces_leaving_gets_no_new_requests_from_any_host() {
     on_one_thread(async {
         let leaving = StandInUpstream::start("i-1").await;
         let other = StandInUpstream::start("i-2").await;
         let published = published(&[&leaving, &other]);
         let hosts = fleet(3, &published).await;
-        let mut kept = Vec::new();
+        let mut connected = Vec::new();
         for host in &hosts {
-            kept.push(Caller::connect(callers(host)).await);
+            connected.push(Caller::connect(callers(host)).await);
         }
         leaving.says(&["x-upstream-leaving: 1"]);
         let begun = Instant::now();
         let mut number = 0;
-        let mut told = None;
+        let mut announced = None;
         while begun.elapsed() < Duration::from_secs(3) {
-            for caller in &mut kept {
+            for caller in &mut connected {
                 number += 1;
                 let text = match number % 2 {
                     0 => get("/any/x", &format!("id-{number}")),
                     _ => post("/once/x", &format!("id-{number}"), "{}"),
                 };
-                assert_eq!(caller.ask(&text).await.status, 200, "the other has room");
+                assert_eq!(caller.ask(&text).await.status, 200, "the other has capacity");
             }
-            if told.is_none() && leaving.arrived(begun..Instant::now()) > 0 {
-                told = Some(Instant::now());
+            if announced.is_none() && leaving.arrived(begun..Instant::now()) > 0 {
+                announced = Some(Instant::now());
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        let told = told.expect("it was never used");
-        let later = leaving.arrived(told + GRACE..Instant::now());
-        assert_eq!(later, 0, "{later} requests after it said that it leaves");
+        let announced = announced.expect("it was never used");
+        let later = leaving.arrived(announced + GRACE..Instant::now());
+        assert_eq!(later, 0, "{later} requests after it announced that it leaves");
         until("its entry is still there", || {
             hosts.iter().all(|host| host.host().published_state().upstreams().count() == 2)
         })
--- a/crates/gateway/tests/broken_connections.rs
+++ b/crates/gateway/tests/broken_connections.rs
@@ -1,4 +1,5 @@
-//! What is known of an upstream that broke off a request.
+//! An upstream that broke a connection during a request: whether it crashed, and the request's
+//! fingerprint.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -11,13 +12,13 @@
 use support::upstream::{Act, StandInUpstream};
 use support::{callers, on_one_thread, ready, until};
 
-/// A process that ended is told apart from a connection that only broke.
+/// A process that ended is distinguished from a connection that only broke.
 #[rstest]
 #[case::ended(Act::Crash(5), true)]
 #[case::reset(Act::Reset, false)]
 #[case::cut_short(Act::Cut, false)]
-#[case::spoilt(Act::Garbage, false)]
-fn it_has_crashed_only_if_its_process_ended(#[case] act: Act, #[case] has_crashed: bool) {
+#[case::garbage(Act::Garbage, false)]
+fn an_upstream_has_crashed_only_if_its_process_ended(#[case] act: Act, #[case] has_crashed: bool) {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _published) = ready(&[&upstream]).await;
@@ -25,13 +26,13 @@
         let mut caller = Caller::connect(callers(&gateway)).await;
         caller.ask(&get("/any/x", "id-1")).await;
         let counted = format!("gateway_broken_off_total{{has_crashed=\"{has_crashed}\"");
-        until("it was looked at", || gateway.host().metrics.render().contains(&counted)).await;
+        until("it was checked", || gateway.host().metrics.render().contains(&counted)).await;
     });
 }
 
-/// Other kept connections end with the process, and are no sign of life.
+/// Idle connections in the pool end with the process, and don't count as open.
 #[test]
-fn it_has_crashed_also_if_connections_to_it_were_kept() {
+fn an_upstream_has_crashed_also_if_the_pool_has_connections_to_it() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _published) = ready(&[&upstream]).await;
@@ -48,11 +49,11 @@
         upstream.plays([Act::Crash(5)]);
         Caller::connect(address).await.ask(&get("/any/x", "id-9")).await;
         let counted = "gateway_broken_off_total{has_crashed=\"true\"";
-        until("it was looked at", || gateway.host().metrics.render().contains(counted)).await;
+        until("it was checked", || gateway.host().metrics.render().contains(counted)).await;
     });
 }
 
-fn of(text: &str, body: &str) -> RequestFingerprint {
+fn fingerprint_of(text: &str, body: &str) -> RequestFingerprint {
     let mut bytes = text.as_bytes().to_vec();
     let head = read_request(&mut bytes, 4_096).unwrap().unwrap();
     fingerprint(&head, body.as_bytes(), Some("x-caller"))
@@ -60,21 +61,21 @@
 
 const FIRST: &str = "GET /any/x?page=1 HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: 1\r\n\r\n";
 
-/// A request that comes again has another id, a shorter deadline and a connection of its own.
+/// A repeated request has another id, a shorter deadline and another connection.
 #[test]
-fn a_request_that_comes_again_has_the_same_fingerprint() {
+fn a_repeated_request_has_the_same_fingerprint() {
     let again = "GET /any/x?page=1 HTTP/1.1\r\nHOST: A.example\r\nX-Request-Id: 2\r\n\
                  X-Deadline-Ms: 90\r\nConnection: close\r\n\r\n";
-    assert_eq!(of(FIRST, ""), of(again, ""));
+    assert_eq!(fingerprint_of(FIRST, ""), fingerprint_of(again, ""));
 }
 
-/// A body is the same however it is sent.
+/// The framing of a body isn't part of the fingerprint.
 #[test]
-fn a_body_in_chunks_has_the_fingerprint_of_one_with_a_length() {
+fn a_chunked_body_has_the_same_fingerprint_as_one_with_a_length() {
     let order =
         |framing: &str| format!("POST /once/x HTTP/1.1\r\nHost: a.example\r\n{framing}\r\n\r\n");
-    let with_length = of(&order("Content-Length: 2"), "{}");
-    assert_eq!(with_length, of(&order("Transfer-Encoding: chunked"), "{}"));
+    let with_length = fingerprint_of(&order("Content-Length: 2"), "{}");
+    assert_eq!(with_length, fingerprint_of(&order("Transfer-Encoding: chunked"), "{}"));
 }
 
 #[rstest]
@@ -83,23 +84,23 @@
 #[case::path(&FIRST.replace("/x", "/y"), "")]
 #[case::query(&FIRST.replace("page=1", "page=2"), "")]
 #[case::body(FIRST, "x")]
-#[case::named_caller(&with("X-Caller: b"), "")]
-#[case::credentials(&with("Authorization: Bearer b"), "")]
-#[case::session(&with("Cookie: id=b"), "")]
-fn another_request_has_another_one(#[case] text: &str, #[case] body: &str) {
-    assert_ne!(of(FIRST, ""), of(text, body));
+#[case::named_caller(&with_header("X-Caller: b"), "")]
+#[case::credentials(&with_header("Authorization: Bearer b"), "")]
+#[case::session(&with_header("Cookie: id=b"), "")]
+fn another_request_has_another_fingerprint(#[case] text: &str, #[case] body: &str) {
+    assert_ne!(fingerprint_of(FIRST, ""), fingerprint_of(text, body));
 }
 
-/// The first one with a header more.
-fn with(header: &str) -> String {
+/// The first request with one more header.
+fn with_header(header: &str) -> String {
     FIRST.replace("\r\n\r\n", &format!("\r\n{header}\r\n\r\n"))
 }
 
-/// What proxies and clients add anew to each sending doesn't set it apart.
+/// Headers that proxies and clients change with each attempt aren't part of the fingerprint.
 #[rstest]
 #[case::trace("Traceparent: 00-1-2-01")]
 #[case::agent("User-Agent: other/2")]
 #[case::forwarded("X-Forwarded-For: 192.0.2.7")]
-fn other_headers_make_no_difference(#[case] header: &str) {
-    assert_eq!(of(FIRST, ""), of(&with(header), ""));
+fn other_headers_do_not_change_the_fingerprint(#[case] header: &str) {
+    assert_eq!(fingerprint_of(FIRST, ""), fingerprint_of(&with_header(header), ""));
 }
--- a/crates/gateway/tests/rate_limit.rs
+++ b/crates/gateway/tests/rate_limit.rs
@@ -1,14 +1,5 @@
-//! An upstream in need names how many requests a second it takes from all hosts together.
-//!
-//! What happened: two upstreams of eight named 2.2 and 4.3 requests a second. Callers saw nothing
-//! of it, but both upstreams got nine to ten a second for as long as they were watched, from the scheduler's
-//! placing and from hosts that asked for themselves alike; one host alone sent four a second.
-//!
-//! The cause: an answer is passed on whole, and what its upstream says in it to the hosts is read
-//! mark by mark. This mark nobody read.
-//!
-//! The evidence: the same rate before and after on every path, and no line of the log; with the
-//! mark's name told to operators, the line `mark-unread` showed that it came.
+//! An upstream states how many requests a second it accepts from all hosts together. The fleet must
+//! keep this limit, whether a scheduler places the requests or hosts choose upstreams themselves.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -21,30 +12,30 @@
 use support::upstream::StandInUpstream;
 use support::{callers, fleet, on_one_thread, published};
 
-/// A third to a fifth of what came before, as in the story. What came in the second before counts in the
-/// platform's first window, so a tenth of it nobody could keep to.
+/// A third to a fifth of the rate before. The first window that is checked includes the second before
+/// the limit was stated, so a much lower limit could not be kept.
 const LIMIT_PER_S: f64 = 6.0;
 
-/// Callers' time before the upstream is in need, and after it.
+/// Time before and after the limit is stated.
 const BEFORE: Duration = Duration::from_secs(1);
 const AFTER: Duration = Duration::from_secs(7);
 
-/// From then on the platform watches what arrives within any such window.
+/// From this time after the limit was stated, arrivals are counted in every window of this length.
 const WATCHED_AFTER: Duration = Duration::from_secs(3);
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// What the platform allows in a window: so many times the limit, and some more.
+/// Arrivals allowed in a window: the limit times this factor, plus the slack.
 const ALLOWED_OVER: f64 = 1.5;
 const ALLOWED_SLACK: f64 = 5.0;
 
 const PAUSE: Duration = Duration::from_millis(50);
 
 #[test]
-fn a_fleet_keeps_to_the_limit_that_an_upstream_names() {
+fn a_fleet_keeps_the_rate_limit_that_an_upstream_states() {
     on_one_thread(async {
-        let in_need = StandInUpstream::start("i-1").await;
+        let limited = StandInUpstream::start("i-1").await;
         let others = [StandInUpstream::start("i-2").await, StandInUpstream::start("i-3").await];
-        let published = published(&[&in_need, &others[0], &others[1]]);
+        let published = published(&[&limited, &others[0], &others[1]]);
         let hosts = fleet(3, &published).await;
         let begun = Instant::now();
         let end = begun + BEFORE + AFTER;
@@ -64,47 +55,47 @@
         });
         let calling: Vec<_> = calling.collect();
         tokio::time::sleep(BEFORE).await;
-        let named = Instant::now();
-        let usual = in_need.arrived(begun..named);
-        assert!(usual > 2, "the others leave nothing to it: {usual}");
-        in_need.says(&[&format!("x-upstream-limit: {LIMIT_PER_S}")]);
+        let stated = Instant::now();
+        let before = limited.arrived(begun..stated);
+        assert!(before > 2, "the others leave nothing to it: {before}");
+        limited.says(&[&format!("x-upstream-limit: {LIMIT_PER_S}")]);
         for callers in calling {
             let (asked, served) = callers.await.unwrap();
-            assert_eq!(served, asked, "the others have room");
+            assert_eq!(served, asked, "the others have capacity");
         }
-        let most = in_need.most_arrived(WINDOW, named + WATCHED_AFTER..end);
+        let most = limited.most_arrived(WINDOW, stated + WATCHED_AFTER..end);
         let allowed = LIMIT_PER_S * WINDOW.as_secs_f64() * ALLOWED_OVER + ALLOWED_SLACK;
-        println!("{usual} in a second before, {most} in four seconds of {allowed}");
-        assert!(most as f64 <= allowed, "{most} of {allowed}");
-        assert!(in_need.arrived(named + WATCHED_AFTER..end) >= 4, "it is not shut out");
+        println!("{before} in a second before, {most} in four seconds of {allowed} allowed");
+        assert!(most as f64 <= allowed, "{most} of {allowed} allowed");
+        assert!(limited.arrived(stated + WATCHED_AFTER..end) >= 4, "it still gets requests");
     });
 }
 
-/// The site of the story: 13 hosts, eight upstreams of three slots, a third of them slowed seven times by
-/// neighbours that change twice a second.
+/// A larger site: 13 hosts, eight upstreams of three slots, and noisy neighbours that slow down a third
+/// of the upstreams by a factor of seven, drawn anew twice a second.
 const HOSTS: usize = 13;
 const UPSTREAMS: usize = 8;
 const WORK_MS: u64 = 60;
 const CALLS_PER_S: u64 = 75;
-const NEIGHBOURS_EACH: Duration = Duration::from_millis(500);
+const NEIGHBOURS_CHANGE_EVERY: Duration = Duration::from_millis(500);
 const LIMITS_PER_S: [f64; 2] = [2.2, 4.3];
 
-/// A host counts once it has passed on an answer that names the limit so long ago.
-const PASSED_ON_BEFORE: Duration = Duration::from_millis(500);
+/// A host's requests count from this time after it delivered the first response that states the limit.
+const DELIVERED_BEFORE: Duration = Duration::from_millis(500);
 
-/// Seeds of the run by hand.
-fn seeds() -> u64 {
+/// Number of seeds, set by hand for longer runs.
+fn seed_count() -> u64 {
     std::env::var("LIMIT_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(1)
 }
 
 #[test]
-fn the_fleet_of_the_story_keeps_to_the_limits() {
-    for seed in 0..seeds() {
-        on_one_thread(play_the_story(seed));
+fn a_fleet_of_13_hosts_keeps_two_rate_limits() {
+    for seed in 0..seed_count() {
+        on_one_thread(run_site(seed));
     }
 }
 
-async fn play_the_story(seed: u64) {
+async fn run_site(seed: u64) {
     let mut upstreams = Vec::new();
     for number in 0..UPSTREAMS {
         let upstream = StandInUpstream::start(&format!("i-{number}")).await;
@@ -117,19 +108,19 @@
     let addresses: Vec<SocketAddr> = hosts.iter().map(callers).collect();
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let begun = Instant::now();
-    let (named, end) = (begun + 2 * BEFORE, begun + 2 * BEFORE + AFTER);
+    let (stated, end) = (begun + 2 * BEFORE, begun + 2 * BEFORE + AFTER);
     let mut asked: u64 = 0;
-    let mut neighbours = 0;
+    let mut changes = 0;
     let mut calls = Vec::new();
     while Instant::now() < end {
         let now = Instant::now();
-        if now >= named {
+        if now >= stated {
             for (upstream, limit) in upstreams.iter().zip(LIMITS_PER_S) {
                 upstream.says(&[&format!("x-upstream-limit: {limit}")]);
             }
         }
-        if now >= begun + NEIGHBOURS_EACH * neighbours {
-            neighbours += 1;
+        if now >= begun + NEIGHBOURS_CHANGE_EVERY * changes {
+            changes += 1;
             for upstream in &upstreams {
                 let slowness = if rng.random_bool(0.35) { 7 } else { 1 };
                 upstream.tells_load(&format!("0,0,3,{}", 100 * slowness));
@@ -152,30 +143,33 @@
         served += u64::from(call.await.unwrap() == 200);
     }
     for (upstream, limit) in upstreams.iter().zip(LIMITS_PER_S) {
-        let most = most_of_told_hosts(upstream, named, end);
+        let most = most_from_informed_hosts(upstream, stated, end);
         let allowed = limit * WINDOW.as_secs_f64() * ALLOWED_OVER + ALLOWED_SLACK;
-        let before = upstream.arrived(named - BEFORE..named);
+        let before = upstream.arrived(stated - BEFORE..stated);
         println!(
-            "seed {seed}, {limit} a second, {before} in the second before: {most} of {allowed}"
+            "seed {seed}, {limit} a second, {before} in the second before: {most} of {allowed} allowed"
+        );
+        assert!(
+            most as f64 <= allowed,
+            "seed {seed}: {most} of {allowed} allowed, {before} before"
         );
-        assert!(most as f64 <= allowed, "seed {seed}: {most} of {allowed}, {before} before");
     }
     println!("seed {seed}: {served} of {asked} served");
-    assert!(served * 20 > asked * 19, "{served} of {asked}: the others have room");
+    assert!(served * 20 > asked * 19, "{served} of {asked}: the others have capacity");
 }
 
-/// Most requests in a window, of hosts that had passed on an answer that names the limit in time.
-fn most_of_told_hosts(upstream: &StandInUpstream, named: Instant, end: Instant) -> usize {
+/// Most requests in a window, from hosts that had delivered a response with the limit in time.
+fn most_from_informed_hosts(upstream: &StandInUpstream, stated: Instant, end: Instant) -> usize {
     let arrivals: Vec<Vec<Instant>> =
         (0..HOSTS).map(|host| upstream.arrivals_of(&format!("h{host}-"))).collect();
-    let passed_on = |of_host: &Vec<Instant>| of_host.iter().find(|at| **at >= named).copied();
+    let delivered = |of_host: &Vec<Instant>| of_host.iter().find(|at| **at >= stated).copied();
     let within = |last: Instant| {
-        let is_told = |of_host: &&Vec<Instant>| {
-            passed_on(of_host).is_some_and(|at| at + PASSED_ON_BEFORE <= last)
+        let is_informed = |of_host: &&Vec<Instant>| {
+            delivered(of_host).is_some_and(|at| at + DELIVERED_BEFORE <= last)
         };
-        let told = arrivals.iter().filter(is_told).flatten();
-        told.filter(|at| **at <= last && last.duration_since(**at) < WINDOW).count()
+        let informed = arrivals.iter().filter(is_informed).flatten();
+        informed.filter(|at| **at <= last && last.duration_since(**at) < WINDOW).count()
     };
-    let ends = arrivals.iter().flatten().filter(|at| (named + WATCHED_AFTER..end).contains(*at));
+    let ends = arrivals.iter().flatten().filter(|at| (stated + WATCHED_AFTER..end).contains(*at));
     ends.map(|last| within(*last)).max().unwrap_or_default()
 }
--- a/crates/gateway/tests/retry_after.rs
+++ b/crates/gateway/tests/retry_after.rs
@@ -1,16 +1,5 @@
-//! An upstream that turns a request away says for how long it wants nothing from that host.
-//!
-//! What happened: two upstreams of eight turned away whatever came, and asked each host for three seconds
-//! without requests. Callers' reads were late or refused: 131 sendings in two seconds went to the two, nine
-//! in ten of them placed by the scheduler, and many a read was refused after both had turned it away.
-//!
-//! The cause: the time in the refusal was read by nobody. A refusal counted as half a failure, forgotten within
-//! three seconds; an upstream that refuses in a millisecond is idle by its own report, so it was the best
-//! offer.
-//!
-//! The evidence: sendings went on for as long as upstreams refused, at the rate at which failures are
-//! forgotten; the status of each was in the log, and with the marks that nothing reads told to
-//! operators, `retry-after` stood beside it.
+//! A host must send no requests to an upstream for the time that the upstream stated in `retry-after`.
+//! An upstream that refuses at once reports no load, so it would otherwise look like the best choice.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -20,37 +9,40 @@
 use support::upstream::{Act, StandInUpstream};
 use support::{callers, fleet, on_one_thread, published};
 
-const REST: Duration = Duration::from_secs(3);
+const BACKOFF: Duration = Duration::from_secs(3);
 
-/// What is under way may still arrive within this time, and so many more requests later.
+/// Requests in flight may still arrive within this time.
 const GRACE: Duration = Duration::from_millis(500);
+
+/// Most requests that may arrive from a host later in its backoff.
 const ALLOWED: usize = 2;
 
 const HOSTS: usize = 3;
 const CALLERS_EACH: usize = 3;
 const PAUSE: Duration = Duration::from_millis(5);
 
-/// Time of a request at the upstreams that serve, and the load that they tell: their neighbours slow
-/// them down, so that those that refuse look better.
+/// Duration of a request at the upstreams that serve.
 const WORK_MS: u64 = 20;
+
+/// Load that these report: they are slowed down, so that the upstreams that refuse look better.
 const SLOWED: &str = "0,0,6,400";
 
 #[test]
-fn an_upstream_that_asks_a_host_for_rest_gets_nothing_from_it() {
+fn an_upstream_that_states_retry_after_gets_no_requests_from_that_host() {
     on_one_thread(async {
-        let resting = [StandInUpstream::start("i-1").await, StandInUpstream::start("i-2").await];
+        let refusing = [StandInUpstream::start("i-1").await, StandInUpstream::start("i-2").await];
         let others = [StandInUpstream::start("i-3").await, StandInUpstream::start("i-4").await];
-        let published = published(&[&resting[0], &resting[1], &others[0], &others[1]]);
+        let published = published(&[&refusing[0], &refusing[1], &others[0], &others[1]]);
         let hosts = fleet(HOSTS, &published).await;
-        for upstream in &resting {
-            upstream.says(&[&format!("retry-after: {}", REST.as_secs())]);
+        for upstream in &refusing {
+            upstream.says(&[&format!("retry-after: {}", BACKOFF.as_secs())]);
             upstream.plays(std::iter::repeat_n(Act::Shed, 10_000));
         }
         for upstream in &others {
             upstream.tells_load(SLOWED);
             upstream.plays(std::iter::repeat_n(Act::Slow(WORK_MS), 10_000));
         }
-        let end = Instant::now() + REST;
+        let end = Instant::now() + BACKOFF;
         let calling = (0..HOSTS * CALLERS_EACH).map(|number| {
             let (host, address) = (number % HOSTS, callers(&hosts[number % HOSTS]));
             tokio::task::spawn_local(async move {
@@ -72,14 +64,15 @@
             let (more_asked, more_served) = callers.await.unwrap();
             (asked, served) = (asked + more_asked, served + more_served);
         }
-        for (upstream, host) in resting.iter().flat_map(|it| (0..HOSTS).map(move |host| (it, host)))
+        for (upstream, host) in
+            refusing.iter().flat_map(|it| (0..HOSTS).map(move |host| (it, host)))
         {
             let name = format!("h{host}-");
-            let Some(told) = upstream.first_of(&name) else { continue };
-            let got = upstream.arrived_of(&name, told + GRACE..told + REST);
-            println!("{} from host {host}: {got} of {ALLOWED}", upstream.id());
-            assert!(got <= ALLOWED, "host {host}: {got} requests in a rest of {REST:?}");
+            let Some(refused) = upstream.first_of(&name) else { continue };
+            let got = upstream.arrived_of(&name, refused + GRACE..refused + BACKOFF);
+            println!("{} from host {host}: {got} of {ALLOWED} allowed", upstream.id());
+            assert!(got <= ALLOWED, "host {host}: {got} requests in a backoff of {BACKOFF:?}");
         }
-        assert_eq!(served, asked, "the others have room");
+        assert_eq!(served, asked, "the others have capacity");
     });
 }
--- a/crates/gateway/tests/suspended.rs
+++ b/crates/gateway/tests/suspended.rs
@@ -1,6 +1,7 @@
-//! A host whose machine was suspended: what it knew before is as old as it is.
+//! A host whose machine was suspended must count the suspended time in deadlines, timeouts and the age
+//! of its state.
 //!
-//! The tests move the clock as a suspension does: time passes, and no timer of the runtime moves.
+//! The tests move the clock as a suspension does: time passes, but the runtime's timers don't advance.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -15,14 +16,14 @@
 /// Longer than any deadline and objective of the routes.
 const SECONDS: Duration = Duration::from_secs(6);
 
-/// Much less than what was left of a deadline when the machine was suspended.
+/// Much less than the rest of a deadline when the machine was suspended.
 const AT_ONCE: Duration = Duration::from_millis(500);
 
-/// A request whose time passed while it waited for an upstream is not sent any more.
+/// A request that expired while it waited for an upstream is not sent.
 #[rstest]
 #[case::idempotent(get("/any/x", "id-1"))]
 #[case::at_most_once(post("/once/x", "id-1", "{}"))]
-fn a_request_whose_time_has_passed_is_not_sent(#[case] request: String) {
+fn an_expired_request_is_not_sent(#[case] request: String) {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         upstream.tells_load("6,6,6,100");
@@ -31,7 +32,7 @@
         let asked = upstream.asked();
         let asking = async { Caller::connect(address).await.ask(&request).await };
         let suspending = async {
-            until("it looks for room", || upstream.asked() > asked).await;
+            until("it probes for capacity", || upstream.asked() > asked).await;
             suspend(SECONDS);
             upstream.tells_load("0,0,6,100");
         };
@@ -41,16 +42,16 @@
     });
 }
 
-/// One that is at an upstream gets its final answer as soon as the machine goes on.
+/// A request in flight gets its final response as soon as the machine resumes.
 #[test]
-fn a_request_that_waits_for_an_answer_ends_at_once() {
+fn an_expired_request_in_flight_is_answered_at_once() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _published) = ready(&[&upstream]).await;
         upstream.plays([Act::Mute, Act::Mute]);
         let mut caller = Caller::connect(callers(&gateway)).await;
         caller.send(&post("/once/x", "id-1", "{}")).await;
-        until("it is there", || !upstream.seen().is_empty()).await;
+        until("it arrived", || !upstream.seen().is_empty()).await;
         suspend(SECONDS);
         let begun = Instant::now();
         assert_eq!(caller.receive().await.unwrap().status, 504);
@@ -58,9 +59,9 @@
     });
 }
 
-/// A kept connection is as old as it is: what must run once goes on another.
+/// An idle connection ages: an at-most-once request gets a new one.
 #[test]
-fn a_kept_connection_is_not_taken_for_fresh() {
+fn an_idle_connection_ages() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _published) = ready(&[&upstream]).await;
@@ -71,13 +72,16 @@
         suspend(Duration::from_secs(9));
         let mut caller = Caller::connect(callers(&gateway)).await;
         assert_eq!(caller.ask(&post("/once/x", "id-2", "{}")).await.status, 200);
-        assert!(upstream.connections() > before, "it went on a connection that was idle for 9 s");
+        assert!(
+            upstream.connections() > before,
+            "it was sent on a connection that was idle for 9 s"
+        );
     });
 }
 
-/// What was read and what upstreams told is as old as it is.
+/// The published state and upstreams' load reports age.
 #[test]
-fn what_is_known_has_aged() {
+fn state_and_load_reports_age() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _published) = ready(&[&upstream]).await;
@@ -97,9 +101,9 @@
     });
 }
 
-/// A caller that left long ago by its own clock finds its connection closed, not open for ever.
+/// A caller's connection that was idle during the suspension is closed at once.
 #[test]
-fn a_callers_idle_connection_has_aged() {
+fn a_callers_idle_connection_ages() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _published) = ready(&[&upstream]).await;
@@ -112,15 +116,15 @@
     });
 }
 
-/// It hears from its peers what was found out meanwhile, and counts them as before.
+/// The host doesn't drop its peers after the suspension.
 #[test]
-fn peers_are_asked_and_not_forgotten() {
+fn peers_are_not_dropped() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let published = published(&[&upstream]);
         let hosts = fleet(3, &published).await;
         suspend(Duration::from_secs(120));
-        // Some rounds of what is done twice a second.
+        // Some rounds of the periodic maintenance, which runs twice a second.
         let begun = Instant::now();
         while begun.elapsed() < Duration::from_millis(1_200) {
             assert_eq!(hosts[0].host().host_count(), 3);
