--- a/crates/gateway/src/backpressure.rs
+++ b/crates/gateway/src/backpressure.rs
@@ -44,13 +44,13 @@
     host: &Host,
     upstream: &UpstreamId,
     head: &ResponseHead,
-    answered: ResponseSummary,
+    summary: ResponseSummary,
 ) -> Backpressure {
-    let is_from_upstream = answered.is_sealed || answered.not_run || attempts::is_final(answered);
-    if !is_from_upstream || answered.status == MISDIRECTED {
+    let is_from_upstream = summary.is_sealed || summary.not_run || attempts::is_final(summary);
+    if !is_from_upstream || summary.status == MISDIRECTED {
         return Backpressure::default();
     }
-    let backoff_ms = match answered.status {
+    let backoff_ms = match summary.status {
         429 | 503 => read_backoff(host, upstream, &head.fields),
         _ => None,
     };
@@ -150,9 +150,9 @@
 
 /// Called when peers become known: after a start, asks them for what upstreams stated before.
 pub fn catch_up_after_start(host: &Host) {
-    let asked = host.backpressure_requests_sent.get();
-    if asked < fleet_message::START_REQUESTS {
-        host.backpressure_requests_sent.set(asked + 1);
+    let sent = host.backpressure_requests_sent.get();
+    if sent < fleet_message::START_REQUESTS {
+        host.backpressure_requests_sent.set(sent + 1);
         request_from_peers(host);
     }
 }
@@ -160,8 +160,8 @@
 /// Asks some peers for what this host missed before its start or while it was suspended.
 pub fn request_from_peers(host: &Host) {
     let digest = host.upstreams.borrow().backpressure().digest();
-    let ask = Datagram::Backpressure(BackpressureMessage::Request { digest });
-    fleet_message::request_from_random_peers(host, &ask);
+    let request = Datagram::Backpressure(BackpressureMessage::Request { digest });
+    fleet_message::request_from_random_peers(host, &request);
 }
 
 /// Handles a peer's message; true if the peer is to be told that this host is up.
@@ -178,8 +178,8 @@
             return should_relay;
         }
         BackpressureMessage::Digest { digest } if digest != own_digest => {
-            let ask = BackpressureMessage::Request { digest: own_digest };
-            fleet_message::send(host, &Datagram::Backpressure(ask), &[from]);
+            let request = BackpressureMessage::Request { digest: own_digest };
+            fleet_message::send(host, &Datagram::Backpressure(request), &[from]);
         }
         BackpressureMessage::Request { digest } if digest != own_digest => {
             let updates = host.upstreams.borrow().backpressure().export(host.now_ms());
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -108,7 +108,7 @@
     }
 
     /// The same connection, bound to the run of the upstream that it was opened to.
-    pub fn belonging_to(self, run: RunStart) -> Connection {
+    pub fn with_run(self, run: RunStart) -> Connection {
         Connection { run, ..self }
     }
 
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -211,7 +211,7 @@
             return Next::Closing;
         }
         let front = self.pending.front_mut();
-        let answered = async {
+        let next_reply = async {
             match front {
                 Some(pending) => (&mut pending.task).await,
                 None => std::future::pending().await,
@@ -219,7 +219,7 @@
         };
         tokio::select! {
             biased;
-            reply = answered => match reply {
+            reply = next_reply => match reply {
                 Ok(reply) => Next::Answered(reply),
                 // The task panicked; whether the request ran is unknown.
                 Err(_) => Next::Answered(Reply::Refused(Refusal::may_have_run(Cause::UpstreamFailed))),
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -55,7 +55,7 @@
     }
 
     /// Whether there is an unexpired connection to an upstream.
-    pub fn holds(&self, upstream: &UpstreamId) -> bool {
+    pub fn has_connection(&self, upstream: &UpstreamId) -> bool {
         let alive = |connection: &Connection| connection.is_unexpired();
         self.idle.get(upstream).is_some_and(|idle| idle.iter().any(alive))
     }
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -44,9 +44,9 @@
     /// Cost by which it was compared with others.
     pub cost: f64,
     /// Number of upstreams probed.
-    pub asked: usize,
+    pub probe_count: usize,
     /// Number of upstreams that answered.
-    pub answered: usize,
+    pub response_count: usize,
 }
 
 #[derive(Debug)]
@@ -59,7 +59,7 @@
 #[derive(Debug)]
 enum ProbeResult {
     /// The upstream answered on this connection.
-    Response { connection: Connection, is_well: bool },
+    Response { connection: Connection, is_healthy: bool },
     /// The probe budget was spent: the upstream is judged by earlier reports.
     NotProbed,
     /// The upstream can't be reached, or another upstream has its address.
@@ -74,21 +74,22 @@
 ) -> Option<Chosen> {
     let mut excluded = excluded.to_vec();
     let mut best: Option<Chosen> = None;
-    let (mut asked, mut answered) = (0, 0);
+    let (mut probe_count, mut response_count) = (0, 0);
     for round in PROBE_ROUNDS {
         let candidates = next_candidates(host, service, &mut excluded, round);
         if candidates.is_empty() {
             break;
         }
-        asked += candidates.len();
-        let (chosen, replies) = probe_round(host, service, candidates, ProbeBudgetKind::Own).await;
-        answered += replies;
+        probe_count += candidates.len();
+        let (chosen, responses) =
+            probe_round(host, service, candidates, ProbeBudgetKind::Own).await;
+        response_count += responses;
         best = better(host, best, chosen);
         if best.as_ref().is_some_and(|best| best.cost <= GOOD_ENOUGH_COST) {
             break;
         }
     }
-    best.map(|chosen| Chosen { asked, answered, ..chosen })
+    best.map(|chosen| Chosen { probe_count, response_count, ..chosen })
 }
 
 impl Chosen {
@@ -107,10 +108,10 @@
         let mut rng = host.rng.borrow_mut();
         let part = (PROBES_PER_ROUND, ZoneScope::Local);
         let pool = host.pool.borrow();
-        let is_connected = |id: &UpstreamId| pool.holds(id);
+        let is_connected = |id: &UpstreamId| pool.has_connection(id);
         let held_back = host.rate_limited_upstreams(&upstreams, service);
         let now_ms = host.now_ms();
-        let near = upstreams.choose_probe_targets(
+        let local = upstreams.choose_probe_targets(
             now_ms,
             service,
             &held_back,
@@ -118,17 +119,17 @@
             is_connected,
             &mut rng,
         );
-        near.into_iter().filter(|id| !upstreams.is_in_other_zone(id)).collect()
+        local.into_iter().filter(|id| !upstreams.is_in_other_zone(id)).collect()
     };
     if candidates.is_empty() {
         return None;
     }
-    let asked = candidates.len();
-    let (chosen, answered) =
+    let probe_count = candidates.len();
+    let (chosen, response_count) =
         probe_round(host, service, candidates, ProbeBudgetKind::LocalZone).await;
     let chosen = chosen?;
     if chosen.connection.is_some() && chosen.cost <= IMMEDIATE_COST {
-        return Some(Chosen { asked, answered, ..chosen });
+        return Some(Chosen { probe_count, response_count, ..chosen });
     }
     chosen.put_back(host);
     None
@@ -143,7 +144,7 @@
     let upstreams = host.upstreams.borrow();
     let mut rng = host.rng.borrow_mut();
     let pool = host.pool.borrow();
-    let is_connected = |id: &UpstreamId| pool.holds(id);
+    let is_connected = |id: &UpstreamId| pool.has_connection(id);
     let now_ms = host.now_ms();
     // Upstreams held back now may be probed in a later round.
     let mut left_out =
@@ -185,27 +186,27 @@
     candidates: Vec<UpstreamId>,
     budget: ProbeBudgetKind,
 ) -> (Option<Chosen>, usize) {
-    let (replies, mut asked) = mpsc::unbounded_channel();
-    let mut open = candidates.len();
+    let (sender, mut results) = mpsc::unbounded_channel();
+    let mut outstanding = candidates.len();
     for upstream in candidates {
         let (host, service) = (Rc::clone(host), service.clone());
-        let replies = replies.clone();
+        let sender = sender.clone();
         tokio::task::spawn_local(async move {
-            let reply = probe(&host, &service, upstream, budget).await;
-            if let Err(mpsc::error::SendError(unused)) = replies.send(reply) {
+            let probed = probe(&host, &service, upstream, budget).await;
+            if let Err(mpsc::error::SendError(unused)) = sender.send(probed) {
                 return_to_pool(&host, unused);
             }
         });
     }
-    drop(replies);
+    drop(sender);
     let mut until = Moment::now() + FIRST_RESPONSE;
     let mut best: Option<Chosen> = None;
-    let mut answered = 0;
-    while open > 0 {
-        let Ok(Some(reply)) = clock::timeout_at(until, asked.recv()).await else { break };
-        open -= 1;
-        answered += usize::from(matches!(reply.result, ProbeResult::Response { .. }));
-        best = better(host, best, weigh(host, reply));
+    let mut response_count = 0;
+    while outstanding > 0 {
+        let Ok(Some(probed)) = clock::timeout_at(until, results.recv()).await else { break };
+        outstanding -= 1;
+        response_count += usize::from(matches!(probed.result, ProbeResult::Response { .. }));
+        best = better(host, best, evaluate(host, probed));
         if best.as_ref().is_some_and(|best| best.cost <= IMMEDIATE_COST) {
             break;
         }
@@ -213,38 +214,38 @@
             until = until.min(Moment::now() + MORE_RESPONSES);
         }
     }
-    asked.close();
-    while let Ok(unused) = asked.try_recv() {
+    results.close();
+    while let Ok(unused) = results.try_recv() {
         return_to_pool(host, unused);
     }
-    (best, answered)
+    (best, response_count)
 }
 
-fn return_to_pool(host: &Host, asked: Probed) {
-    if let ProbeResult::Response { connection, .. } = asked.result {
-        host.pool.borrow_mut().put(&asked.upstream, connection);
+fn return_to_pool(host: &Host, probed: Probed) {
+    if let ProbeResult::Response { connection, .. } = probed.result {
+        host.pool.borrow_mut().put(&probed.upstream, connection);
     }
 }
 
-fn weigh(host: &Host, asked: Probed) -> Option<Chosen> {
-    let (connection, is_well) = match asked.result {
-        ProbeResult::Response { connection, is_well } => (Some(connection), is_well),
+fn evaluate(host: &Host, probed: Probed) -> Option<Chosen> {
+    let (connection, is_healthy) = match probed.result {
+        ProbeResult::Response { connection, is_healthy } => (Some(connection), is_healthy),
         ProbeResult::NotProbed => (None, true),
         ProbeResult::Failure => return None,
     };
     let upstreams = host.upstreams.borrow();
-    if !upstreams.accepts_requests(&asked.upstream) {
+    if !upstreams.accepts_requests(&probed.upstream) {
         return None;
     }
-    if !host.may_send(&upstreams, &asked.upstream) {
+    if !host.may_send(&upstreams, &probed.upstream) {
         drop(upstreams);
-        connection.into_iter().for_each(|it| host.pool.borrow_mut().put(&asked.upstream, it));
+        connection.into_iter().for_each(|it| host.pool.borrow_mut().put(&probed.upstream, it));
         return None;
     }
     let Candidate { upstream, work, cost } =
-        upstreams.estimate_cost(host.now_ms(), &asked.upstream)?;
-    let cost = if is_well { cost } else { cost + UNHEALTHY_COST };
-    Some(Chosen { upstream, connection, work, cost, asked: 0, answered: 0 })
+        upstreams.estimate_cost(host.now_ms(), &probed.upstream)?;
+    let cost = if is_healthy { cost } else { cost + UNHEALTHY_COST };
+    Some(Chosen { upstream, connection, work, cost, probe_count: 0, response_count: 0 })
 }
 
 async fn probe(
@@ -257,7 +258,7 @@
         return Probed { upstream, result: ProbeResult::NotProbed };
     }
     let result = match probe_within_limit(host, service, &upstream).await {
-        Some((connection, is_well)) => ProbeResult::Response { connection, is_well },
+        Some((connection, is_healthy)) => ProbeResult::Response { connection, is_healthy },
         None => ProbeResult::Failure,
     };
     Probed { upstream, result }
--- a/crates/gateway/src/probe/connect.rs
+++ b/crates/gateway/src/probe/connect.rs
@@ -28,8 +28,8 @@
     repeat: Idempotency,
 ) -> Option<Connection> {
     let run = host.upstreams.borrow().current_run(upstream);
-    let kept = host.pool.borrow_mut().take(upstream, run);
-    match kept {
+    let pooled = host.pool.borrow_mut().take(upstream, run);
+    match pooled {
         Some(connection) if is_trusted(&connection, repeat) && !connection.is_doubtful() => {
             return Some(connection);
         }
@@ -73,8 +73,8 @@
     let path = health_path(host, &service);
     let probing = exchange(host, &mut connection, (upstream, run), &path);
     match clock::timeout(VERIFY_LIMIT, probing).await {
-        Ok(Ok(is_well)) => {
-            record_result(host, (upstream, run), is_well);
+        Ok(Ok(is_healthy)) => {
+            record_result(host, (upstream, run), is_healthy);
             Some(connection)
         }
         // The connection is dead; the upstream itself may be well.
--- a/crates/gateway/src/probe/health_check.rs
+++ b/crates/gateway/src/probe/health_check.rs
@@ -28,11 +28,15 @@
     LocalZone,
 }
 
-pub(super) fn record_result(host: &Host, (upstream, run): (&UpstreamId, RunStart), is_well: bool) {
+pub(super) fn record_result(
+    host: &Host,
+    (upstream, run): (&UpstreamId, RunStart),
+    is_healthy: bool,
+) {
     let now_ms = host.now_ms();
     let mut upstreams = host.upstreams.borrow_mut();
     let Some(known) = upstreams.get_run_mut(upstream, run) else { return };
-    match is_well {
+    match is_healthy {
         true => known.record_probe_success(),
         false => known.record_probe_failure(now_ms, ProbeFailure::Unwell),
     }
@@ -82,7 +86,7 @@
 }
 
 /// Probes an upstream and records the result; returns the connection, and whether the upstream is
-/// well.
+/// healthy.
 pub(super) async fn probe_within_limit(
     host: &Rc<Host>,
     service: &ServiceName,
@@ -92,9 +96,9 @@
     let probing = probe(host, service, (upstream, run));
     let result = clock::timeout(PROBE_LIMIT, probing).await;
     match result.unwrap_or(Err(ProbeFailure::TimedOut)) {
-        Ok(ProbeResponse { connection, is_well }) => {
-            record_result(host, (upstream, run), is_well);
-            Some((connection, is_well))
+        Ok(ProbeResponse { connection, is_healthy }) => {
+            record_result(host, (upstream, run), is_healthy);
+            Some((connection, is_healthy))
         }
         Err(failure) => {
             record_failure(host, (upstream, run), failure);
@@ -105,7 +109,7 @@
 
 struct ProbeResponse {
     connection: Connection,
-    is_well: bool,
+    is_healthy: bool,
 }
 
 async fn probe(
@@ -114,18 +118,18 @@
     (upstream, run): (&UpstreamId, RunStart),
 ) -> Result<ProbeResponse, ProbeFailure> {
     let path = health_path(host, service);
-    let kept = host.pool.borrow_mut().take(upstream, run);
-    if let Some(mut connection) = kept {
+    let pooled = host.pool.borrow_mut().take(upstream, run);
+    if let Some(mut connection) = pooled {
         match exchange(host, &mut connection, (upstream, run), &path).await {
-            Ok(is_well) => return Ok(ProbeResponse { connection, is_well }),
+            Ok(is_healthy) => return Ok(ProbeResponse { connection, is_healthy }),
             // An idle connection may be dead; a probe is safe to repeat.
             Err(ProbeFailure::Unreachable) => {}
             Err(failure) => return Err(failure),
         }
     }
     let mut connection = open(host, upstream).await?;
-    let is_well = exchange(host, &mut connection, (upstream, run), &path).await?;
-    Ok(ProbeResponse { connection, is_well })
+    let is_healthy = exchange(host, &mut connection, (upstream, run), &path).await?;
+    Ok(ProbeResponse { connection, is_healthy })
 }
 
 /// Opens a connection to an upstream.
@@ -137,7 +141,7 @@
     let entry = entry.ok_or(ProbeFailure::Unreachable)?;
     host.metrics.connection_opened();
     let connection = Connection::open(entry.address, CONNECT_LIMIT).await;
-    connection.map(|open| open.belonging_to(entry.run)).map_err(|_| ProbeFailure::Unreachable)
+    connection.map(|open| open.with_run(entry.run)).map_err(|_| ProbeFailure::Unreachable)
 }
 
 pub(super) fn health_path(host: &Host, service: &ServiceName) -> String {
@@ -147,7 +151,7 @@
 }
 
 /// Sends a probe on a connection, and records what the response reports; true if the upstream is
-/// well.
+/// healthy.
 pub(super) async fn exchange(
     host: &Rc<Host>,
     connection: &mut Connection,
@@ -158,20 +162,20 @@
     let request = format!("GET {path} HTTP/1.1\r\nhost: upstream\r\n\r\n");
     let id = Some((host.dialect.request_id, ""));
     let expected = Expected { has_body: true, id, read_timeouts: None };
-    let answer = connection.exchange(request.as_bytes(), expected).await;
-    let answer = answer.map_err(|_| ProbeFailure::Unreachable)?;
-    host.log_unread_headers(upstream, &answer.head.fields, ResponseTo::HealthCheck);
+    let response = connection.exchange(request.as_bytes(), expected).await;
+    let response = response.map_err(|_| ProbeFailure::Unreachable)?;
+    host.log_unread_headers(upstream, &response.head.fields, ResponseTo::HealthCheck);
     let is_other = |id: &str| id != upstream.as_str();
-    if answer.head.fields.get(host.dialect.upstream).is_some_and(is_other) {
+    if response.head.fields.get(host.dialect.upstream).is_some_and(is_other) {
         return Err(ProbeFailure::OtherUpstream);
     }
-    if let Some(report) = read_load(host, &answer.head.fields) {
+    if let Some(report) = read_load(host, &response.head.fields) {
         note_report(host, (upstream, run), report);
     }
-    record_cold(host, (upstream, run), &answer.head.fields);
-    let stated = backpressure::read_fields(host, upstream, &answer.head.fields);
+    record_cold(host, (upstream, run), &response.head.fields);
+    let stated = backpressure::read_fields(host, upstream, &response.head.fields);
     backpressure::record(host, (upstream, run), ResponseKind::HealthCheck, stated);
-    Ok(answer.head.status == 200)
+    Ok(response.head.status == 200)
 }
 
 /// The load that a response reports, if any.
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -62,7 +62,7 @@
     host.metrics.connection_opened();
     match Connection::open(entry.address, CHECK_LIMIT).await {
         Ok(connection) => {
-            host.pool.borrow_mut().put(&entry.id, connection.belonging_to(entry.run));
+            host.pool.borrow_mut().put(&entry.id, connection.with_run(entry.run));
             false
         }
         Err(e) => e.kind() == ErrorKind::ConnectionRefused && !is_connected(host, entry),
@@ -73,9 +73,9 @@
 /// connections. Called after a round trip, by which time connections that a crash closed are seen
 /// to be closed.
 fn is_connected(host: &Host, entry: &Upstream) -> bool {
-    let kept = host.pool.borrow_mut().take(&entry.id, entry.run);
-    let is_open = kept.is_some();
-    kept.into_iter().for_each(|kept| host.pool.borrow_mut().put(&entry.id, kept));
+    let pooled = host.pool.borrow_mut().take(&entry.id, entry.run);
+    let is_open = pooled.is_some();
+    pooled.into_iter().for_each(|pooled| host.pool.borrow_mut().put(&entry.id, pooled));
     is_open
 }
 
@@ -161,9 +161,9 @@
 /// Called when peers become known: after a start, asks them for what this host missed. Limited to a
 /// few times, since hosts that start together learn of each other in dozens of messages.
 pub fn catch_up_after_start(host: &Host) {
-    let asked = host.quarantine_requests_sent.get();
-    if asked < fleet_message::START_REQUESTS && host.quarantine.borrow().is_empty() {
-        host.quarantine_requests_sent.set(asked + 1);
+    let sent = host.quarantine_requests_sent.get();
+    if sent < fleet_message::START_REQUESTS && host.quarantine.borrow().is_empty() {
+        host.quarantine_requests_sent.set(sent + 1);
         request_from_peers(host);
     }
 }
@@ -171,8 +171,8 @@
 /// Asks some peers for what this host missed before its start or while it was suspended.
 pub fn request_from_peers(host: &Host) {
     let digest = host.quarantine.borrow().digest();
-    let ask = Datagram::Quarantine(QuarantineMessage::Request { digest });
-    fleet_message::request_from_random_peers(host, &ask);
+    let request = Datagram::Quarantine(QuarantineMessage::Request { digest });
+    fleet_message::request_from_random_peers(host, &request);
 }
 
 /// Handles a peer's message; true if the peer is to be told that this host is up.
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -107,7 +107,7 @@
 ) -> Reply {
     host.open_requests.set(host.open_requests.get() + 1);
     let id = request.head.fields.get(host.dialect.request_id).unwrap_or_default().to_owned();
-    let mut open = OpenRequestGuard {
+    let mut guard = OpenRequestGuard {
         host: Rc::clone(&host),
         id: id.clone(),
         arrived_ms: request.arrived_ms,
@@ -122,7 +122,7 @@
         }
         Err(refusal) => (String::new(), Err(refusal)),
     };
-    open.is_answered = true;
+    guard.is_answered = true;
     match outcome {
         Ok(reply) => reply,
         Err(refusal) => {
--- a/crates/gateway/src/serve/admission.rs
+++ b/crates/gateway/src/serve/admission.rs
@@ -13,7 +13,7 @@
     /// request if it is quarantined.
     pub(super) async fn wait_for_trial(&self, counts: &AttemptCounts) -> Result<(), Refusal> {
         loop {
-            let news = self.host.quarantine_changed.notified();
+            let changed = self.host.quarantine_changed.notified();
             let for_ms = match self.admission() {
                 Admission::Free | Admission::Trial => return Ok(()),
                 Admission::Held { for_ms } => return Err(quarantine_refusal(for_ms, counts)),
@@ -21,7 +21,7 @@
             };
             let until_ms = self.end_ms.min(self.host.now_ms() + for_ms);
             tokio::select! {
-                () = news => {}
+                () = changed => {}
                 () = self.host.clock.sleep_until(until_ms) => {}
             }
             self.check_time(self.host.now_ms(), counts)?;
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -1,6 +1,6 @@
 //! Sends a request to upstreams until it has its final response.
 
-use super::attempt_end::{EndedAttempt, KeptFailure, failure_of};
+use super::attempt_end::{EndedAttempt, ErrorResponse, failure_of};
 use super::attempt_guard::AttemptGuard;
 use super::selection::Selected;
 use super::{Reply, RoutedRequest};
@@ -56,14 +56,14 @@
 
     pub(super) async fn run(self) -> Result<Reply, Refusal> {
         let mut counts = AttemptCounts::default();
-        let mut kept = None;
-        let outcome = self.send_until_answered(&mut counts, &mut kept).await;
+        let mut error_response = None;
+        let outcome = self.send_until_answered(&mut counts, &mut error_response).await;
         if counts.crashes > 0 {
             quarantine::record_final_response(&self.host, self.fingerprint());
         }
-        match (outcome, kept) {
+        match (outcome, error_response) {
             // An upstream's error response tells the caller more than a refusal by this host.
-            (Err(refusal), Some(KeptFailure { upstream, response })) if !refusal.is_not_run => {
+            (Err(refusal), Some(ErrorResponse { upstream, response })) if !refusal.is_not_run => {
                 Ok(self.deliver(&upstream, response, &counts))
             }
             (outcome, _) => outcome,
@@ -73,7 +73,7 @@
     async fn send_until_answered(
         &self,
         counts: &mut AttemptCounts,
-        kept: &mut Option<KeptFailure>,
+        error_response: &mut Option<ErrorResponse>,
     ) -> Result<Reply, Refusal> {
         loop {
             self.wait_for_trial(counts).await?;
@@ -82,7 +82,7 @@
             tokio::select! {
                 biased;
                 ended = self.send(attempt) => {
-                    if let Some(outcome) = self.handle_end(ended, counts, kept) {
+                    if let Some(outcome) = self.handle_end(ended, counts, error_response) {
                         return outcome;
                     }
                 }
--- a/crates/gateway/src/serve/attempt_end.rs
+++ b/crates/gateway/src/serve/attempt_end.rs
@@ -21,7 +21,7 @@
 }
 
 /// An upstream's own error response, kept while the request is retried.
-pub(super) struct KeptFailure {
+pub(super) struct ErrorResponse {
     pub(super) upstream: UpstreamId,
     pub(super) response: Response,
 }
@@ -32,7 +32,7 @@
         &self,
         ended: EndedAttempt,
         counts: &mut AttemptCounts,
-        kept: &mut Option<KeptFailure>,
+        error_response: &mut Option<ErrorResponse>,
     ) -> Option<Result<Reply, Refusal>> {
         let now_ms = self.host.now_ms();
         self.update_quarantine(ended.end, ended.is_trial);
@@ -66,7 +66,7 @@
                     self.host.retry_budget.borrow_mut().try_spend(now_ms, &self.service);
                 }
                 if let (Some(response), true) = (response, is_own_failure(ended.end)) {
-                    *kept = Some(KeptFailure { upstream: ended.upstream, response });
+                    *error_response = Some(ErrorResponse { upstream: ended.upstream, response });
                 }
                 None
             }
--- a/crates/gateway/src/serve/attempt_guard.rs
+++ b/crates/gateway/src/serve/attempt_guard.rs
@@ -65,11 +65,11 @@
             return std::future::pending().await;
         }
         loop {
-            let news = self.host.state_updated.notified();
+            let updated = self.host.state_updated.notified();
             if self.host.upstreams.borrow().has_restarted(&self.upstream, self.run) {
                 return;
             }
-            news.await;
+            updated.await;
         }
     }
 
--- a/crates/gateway/src/serve/selection.rs
+++ b/crates/gateway/src/serve/selection.rs
@@ -257,7 +257,7 @@
     }
 
     fn selected_by_probe(&self, chosen: Chosen, begun_ms: Millis) -> Selected {
-        let Chosen { upstream, connection, work, cost, asked, answered } = chosen;
+        let Chosen { upstream, connection, work, cost, probe_count, response_count } = chosen;
         let now_ms = self.host.now_ms();
         let upstreams = self.host.upstreams.borrow();
         let report = upstreams.get(&upstream).and_then(|known| known.report(now_ms));
@@ -268,7 +268,7 @@
             cost,
             report_age_ms: report.map(|(_, age_ms)| age_ms),
             begun_ms,
-            by: ChosenBy::Asking { asked, answered },
+            by: ChosenBy::Asking { asked: probe_count, answered: response_count },
             connection,
         }
     }
@@ -291,8 +291,8 @@
                 id: &self.id,
                 upstream: &chosen.upstream,
                 expected_ms,
-                asked: chosen.asked,
-                answered: chosen.answered,
+                asked: chosen.probe_count,
+                answered: chosen.response_count,
                 objective_left_ms: (check.arrived_ms + check.objective_ms).since(now_ms),
                 verdict,
             });
