--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -10,7 +10,7 @@
 mod health_check;
 
 pub use connect::{connect, is_trusted};
-pub use health_check::{note_report, read_load, refresh};
+pub use health_check::{read_load, record_report, refresh};
 
 use crate::connection::Connection;
 use crate::host::Host;
@@ -82,7 +82,7 @@
         }
         probe_count += candidates.len();
         let (chosen, responses) =
-            probe_round(host, service, candidates, ProbeBudgetKind::Own).await;
+            probe_round(host, service, candidates, ProbeBudgetKind::Fleet).await;
         response_count += responses;
         best = better(host, best, chosen);
         if best.as_ref().is_some_and(|best| best.cost <= GOOD_ENOUGH_COST) {
--- a/crates/gateway/src/probe/connect.rs
+++ b/crates/gateway/src/probe/connect.rs
@@ -25,12 +25,12 @@
 pub async fn connect(
     host: &Rc<Host>,
     upstream: &UpstreamId,
-    repeat: Idempotency,
+    idempotency: Idempotency,
 ) -> Option<Connection> {
     let run = host.upstreams.borrow().current_run(upstream);
     let pooled = host.pool.borrow_mut().take(upstream, run);
     match pooled {
-        Some(connection) if is_trusted(&connection, repeat) && !connection.is_doubtful() => {
+        Some(connection) if is_trusted(&connection, idempotency) && !connection.is_doubtful() => {
             return Some(connection);
         }
         Some(connection) => {
@@ -51,8 +51,8 @@
 
 /// Whether a connection was used so recently that it is taken to be alive without a probe. Checked
 /// again right before sending: the machine may have been suspended since the connection was chosen.
-pub fn is_trusted(connection: &Connection, repeat: Idempotency) -> bool {
-    let trusted = match repeat {
+pub fn is_trusted(connection: &Connection, idempotency: Idempotency) -> bool {
+    let trusted = match idempotency {
         Idempotency::Idempotent => UNPROBED_IDLE_IDEMPOTENT,
         Idempotency::AtMostOnce => UNPROBED_IDLE,
     };
@@ -67,7 +67,7 @@
     mut connection: Connection,
 ) -> Option<Connection> {
     let service = host.upstreams.borrow().get(upstream)?.entry.service.clone();
-    if !take_probe(host, &service, upstream, ProbeBudgetKind::Own) {
+    if !take_probe(host, &service, upstream, ProbeBudgetKind::Fleet) {
         return None;
     }
     let path = health_path(host, &service);
@@ -77,7 +77,7 @@
             record_result(host, (upstream, run), is_healthy);
             Some(connection)
         }
-        // The connection is dead; the upstream itself may be well.
+        // The connection is dead; the upstream itself may be healthy.
         Ok(Err(_)) | Err(_) => None,
     }
 }
--- a/crates/gateway/src/probe/health_check.rs
+++ b/crates/gateway/src/probe/health_check.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) enum ProbeBudgetKind {
     /// Shared by all hosts.
-    Own,
+    Fleet,
     /// Shared by the hosts of the upstream's availability zone.
     LocalZone,
 }
@@ -75,7 +75,7 @@
 ) -> bool {
     let (upstreams, fleet) = (host.upstreams.borrow(), host.fleet_size());
     let (budget, sharing) = match budget {
-        ProbeBudgetKind::Own => {
+        ProbeBudgetKind::Fleet => {
             (&host.probe_budget, upstreams.probing_hosts(service, upstream, fleet))
         }
         ProbeBudgetKind::LocalZone => {
@@ -170,7 +170,7 @@
         return Err(ProbeFailure::OtherUpstream);
     }
     if let Some(report) = read_load(host, &response.head.fields) {
-        note_report(host, (upstream, run), report);
+        record_report(host, (upstream, run), report);
     }
     record_cold(host, (upstream, run), &response.head.fields);
     let stated = backpressure::read_fields(host, upstream, &response.head.fields);
@@ -184,7 +184,7 @@
 }
 
 /// Records a load report of a run of an upstream.
-pub fn note_report(host: &Host, upstream: (&UpstreamId, RunStart), report: LoadReport) {
+pub fn record_report(host: &Host, upstream: (&UpstreamId, RunStart), report: LoadReport) {
     let now_ms: Millis = host.now_ms();
     host.upstreams.borrow_mut().record_report(now_ms, upstream, report);
 }
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -215,7 +215,7 @@
             }
             _ => false,
         };
-        EndedAttempt { upstream, end, response, sent_ms, has_crashed, is_trial }
+        EndedAttempt { upstream, result: end, response, sent_ms, has_crashed, is_trial }
     }
 
     fn summarize(&self, response: &Response) -> ResponseSummary {
--- a/crates/gateway/src/serve/attempt_end.rs
+++ b/crates/gateway/src/serve/attempt_end.rs
@@ -12,7 +12,7 @@
 /// An attempt that ended.
 pub(super) struct EndedAttempt {
     pub(super) upstream: UpstreamId,
-    pub(super) end: AttemptResult,
+    pub(super) result: AttemptResult,
     pub(super) response: Option<Response>,
     pub(super) sent_ms: Millis,
     /// The upstream crashed during the attempt.
@@ -35,12 +35,12 @@
         error_response: &mut Option<ErrorResponse>,
     ) -> Option<Result<Reply, Refusal>> {
         let now_ms = self.host.now_ms();
-        self.update_quarantine(ended.end, ended.is_trial);
+        self.update_quarantine(ended.result, ended.is_trial);
         counts.crashes += u32::from(ended.has_crashed);
-        if attempts::is_not_run(ended.end) {
+        if attempts::is_not_run(ended.result) {
             counts.not_run += 1;
         }
-        if ended.end == AttemptResult::NotSent {
+        if ended.result == AttemptResult::NotSent {
             counts.arrived -= 1;
         }
         self.log_failure(&ended, now_ms);
@@ -55,7 +55,7 @@
                 && self.host.retry_budget.borrow().remaining(self.host.now_ms(), &self.service)
                     < 1.0,
         };
-        match (attempts::next_step(state, ended.end), ended.response) {
+        match (attempts::next_step(state, ended.result), ended.response) {
             (NextStep::Deliver, Some(response)) => {
                 Some(Ok(self.deliver(&ended.upstream, response, counts)))
             }
@@ -65,7 +65,7 @@
                 if uses_retry_budget {
                     self.host.retry_budget.borrow_mut().try_spend(now_ms, &self.service);
                 }
-                if let (Some(response), true) = (response, is_own_failure(ended.end)) {
+                if let (Some(response), true) = (response, is_upstream_error(ended.result)) {
                     *error_response = Some(ErrorResponse { upstream: ended.upstream, response });
                 }
                 None
@@ -98,14 +98,14 @@
     }
 
     fn log_failure(&self, ended: &EndedAttempt, now_ms: Millis) {
-        let Some(failure) = failure_of(ended.end) else { return };
+        let Some(failure) = failure_of(ended.result) else { return };
         self.host.log.write(&LogEvent::SendFailed {
             id: &self.id,
             upstream: &ended.upstream,
             failure,
             after_ms: now_ms.since(ended.sent_ms),
             status: ended.response.as_ref().map(|response| response.head.status),
-            is_not_run: attempts::is_not_run(ended.end),
+            is_not_run: attempts::is_not_run(ended.result),
             repeats_left: self
                 .host
                 .retry_budget
@@ -117,7 +117,7 @@
     }
 }
 
-fn is_own_failure(end: AttemptResult) -> bool {
+fn is_upstream_error(end: AttemptResult) -> bool {
     matches!(end, AttemptResult::Answered(response) if attempts::is_upstream_failure(response))
 }
 
--- a/crates/gateway/src/serve/attempt_guard.rs
+++ b/crates/gateway/src/serve/attempt_guard.rs
@@ -94,7 +94,7 @@
     fn record_end(&self, outcome: Outcome) {
         // Before the end: the load that a response reports includes the request itself.
         if let Some(report) = outcome.report {
-            probe::note_report(&self.host, (&self.upstream, self.run), report);
+            probe::record_report(&self.host, (&self.upstream, self.run), report);
         }
         let now_ms = self.host.now_ms();
         let mut upstreams = self.host.upstreams.borrow_mut();
@@ -109,7 +109,7 @@
         self.placement.as_ref().is_none_or(|placement| !placement.is_own())
     }
 
-    fn withdraw(&mut self) {
+    fn cancel(&mut self) {
         let took_ms = self.host.now_ms().since(self.begun_ms);
         if took_ms > UNRESPONSIVE_MS {
             let failure = Some(AttemptFailure::TimedOut);
@@ -134,7 +134,7 @@
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
         if !self.is_ended {
-            self.withdraw();
+            self.cancel();
         }
     }
 }
