--- a/crates/gateway/tests/backpressure.rs
+++ b/crates/gateway/tests/backpressure.rs
@@ -262,8 +262,8 @@
         assert_eq!(result.status, 200);
         let got = result.caller.ask(&post("/once/x", "id-2", "{}")).await;
         let refused = (503, "no-upstream", true);
-        let told = (got.status, got.cause.as_str(), got.retry_after.is_some());
-        assert_eq!(told == refused, wanted, "{told:?}");
+        let outcome = (got.status, got.cause.as_str(), got.retry_after.is_some());
+        assert_eq!(outcome == refused, wanted, "{outcome:?}");
         assert_eq!(result.upstream.seen().len(), if wanted { 1 } else { 2 });
     });
 }
--- a/crates/gateway/tests/broken_connections.rs
+++ b/crates/gateway/tests/broken_connections.rs
@@ -42,8 +42,8 @@
             let text = get("/any/x", &format!("id-{number}"));
             tokio::task::spawn_local(async move { Caller::connect(address).await.ask(&text).await })
         });
-        for asked in side_by_side.collect::<Vec<_>>() {
-            asked.await.unwrap();
+        for response in side_by_side.collect::<Vec<_>>() {
+            response.await.unwrap();
         }
         assert!(gateway.host().pool.borrow().len() > 1);
         upstream.plays([Act::Crash(5)]);
--- a/crates/gateway/tests/crashing_requests.rs
+++ b/crates/gateway/tests/crashing_requests.rs
@@ -249,8 +249,8 @@
         until("all are asked", || site.runs_of("/any/popular") >= UPSTREAMS).await;
         site.upstreams.iter().for_each(StandInUpstream::crash);
         site.upstreams.iter().for_each(StandInUpstream::plays_no_more);
-        for asked in asking {
-            asked.await.unwrap();
+        for response in asking {
+            response.await.unwrap();
         }
         let all_back = || site.upstreams.iter().all(StandInUpstream::is_running);
         until("they are back", all_back).await;
--- a/crates/gateway/tests/rate_limit.rs
+++ b/crates/gateway/tests/rate_limit.rs
@@ -43,14 +43,14 @@
             let address = callers(host);
             tokio::task::spawn_local(async move {
                 let mut caller = Caller::connect(address).await;
-                let (mut asked, mut served) = (0, 0);
+                let (mut sent, mut served) = (0, 0);
                 while Instant::now() < end {
-                    asked += 1;
-                    let got = caller.ask(&get("/any/x", &format!("{number}-{asked}"))).await;
+                    sent += 1;
+                    let got = caller.ask(&get("/any/x", &format!("{number}-{sent}"))).await;
                     served += usize::from(got.status == 200);
                     tokio::time::sleep(PAUSE).await;
                 }
-                (asked, served)
+                (sent, served)
             })
         });
         let calling: Vec<_> = calling.collect();
@@ -60,8 +60,8 @@
         assert!(before > 2, "the others leave nothing to it: {before}");
         limited.says(&[&format!("x-upstream-limit: {LIMIT_PER_S}")]);
         for callers in calling {
-            let (asked, served) = callers.await.unwrap();
-            assert_eq!(served, asked, "the others have capacity");
+            let (sent, served) = callers.await.unwrap();
+            assert_eq!(served, sent, "the others have capacity");
         }
         let most = limited.most_arrived(WINDOW, stated + WATCHED_AFTER..end);
         let allowed = LIMIT_PER_S * WINDOW.as_secs_f64() * ALLOWED_OVER + ALLOWED_SLACK;
@@ -109,7 +109,7 @@
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let begun = Instant::now();
     let (stated, end) = (begun + 2 * BEFORE, begun + 2 * BEFORE + AFTER);
-    let mut asked: u64 = 0;
+    let mut sent: u64 = 0;
     let mut changes = 0;
     let mut calls = Vec::new();
     while Instant::now() < end {
@@ -128,10 +128,10 @@
             }
         }
         let due = now.duration_since(begun).as_millis() as u64 * CALLS_PER_S / 1_000;
-        while asked < due {
-            asked += 1;
+        while sent < due {
+            sent += 1;
             let host = rng.random_range(0..HOSTS);
-            let (address, id) = (addresses[host], format!("h{host}-{asked}"));
+            let (address, id) = (addresses[host], format!("h{host}-{sent}"));
             calls.push(tokio::task::spawn_local(async move {
                 Caller::connect(address).await.ask(&get("/any/x", &id)).await.status
             }));
@@ -154,8 +154,8 @@
             "seed {seed}: {most} of {allowed} allowed, {before} before"
         );
     }
-    println!("seed {seed}: {served} of {asked} served");
-    assert!(served * 20 > asked * 19, "{served} of {asked}: the others have capacity");
+    println!("seed {seed}: {served} of {sent} served");
+    assert!(served * 20 > sent * 19, "{served} of {sent}: the others have capacity");
 }
 
 /// Most requests in a window, from hosts that had delivered a response with the limit in time.
--- a/crates/gateway/tests/retry_after.rs
+++ b/crates/gateway/tests/retry_after.rs
@@ -47,22 +47,21 @@
             let (host, address) = (number % HOSTS, callers(&hosts[number % HOSTS]));
             tokio::task::spawn_local(async move {
                 let mut caller = Caller::connect(address).await;
-                let (mut asked, mut served) = (0, 0);
+                let (mut sent, mut served) = (0, 0);
                 while Instant::now() < end {
-                    asked += 1;
-                    let got =
-                        caller.ask(&get("/any/x", &format!("h{host}-{number}-{asked}"))).await;
+                    sent += 1;
+                    let got = caller.ask(&get("/any/x", &format!("h{host}-{number}-{sent}"))).await;
                     served += usize::from(got.status == 200);
                     tokio::time::sleep(PAUSE).await;
                 }
-                (asked, served)
+                (sent, served)
             })
         });
         let calling: Vec<_> = calling.collect();
-        let (mut asked, mut served) = (0, 0);
+        let (mut sent, mut served) = (0, 0);
         for callers in calling {
-            let (more_asked, more_served) = callers.await.unwrap();
-            (asked, served) = (asked + more_asked, served + more_served);
+            let (more_sent, more_served) = callers.await.unwrap();
+            (sent, served) = (sent + more_sent, served + more_served);
         }
         for (upstream, host) in
             refusing.iter().flat_map(|it| (0..HOSTS).map(move |host| (it, host)))
@@ -73,6 +72,6 @@
             println!("{} from host {host}: {got} of {ALLOWED} allowed", upstream.id());
             assert!(got <= ALLOWED, "host {host}: {got} requests in a backoff of {BACKOFF:?}");
         }
-        assert_eq!(served, asked, "the others have capacity");
+        assert_eq!(served, sent, "the others have capacity");
     });
 }
--- a/crates/gateway/tests/scheduling.rs
+++ b/crates/gateway/tests/scheduling.rs
@@ -116,7 +116,7 @@
         let (gateway, _) = ready(&[&upstream]).await;
         let unresponsive = unresponsive_scheduler(&gateway);
         send_hello(&gateway, unresponsive.clone());
-        until("it is heard of", || gateway.host().host_count() == 2).await;
+        until("it is known", || gateway.host().host_count() == 2).await;
         let mut caller = Caller::connect(callers(&gateway)).await;
         for round in 0..3 {
             let got = caller.ask(&post("/once/x", &format!("id-{round}"), "{}")).await;
@@ -128,7 +128,7 @@
         assert_eq!(upstream.seen().len(), 3);
         // A new run of it is used again.
         send_hello(&gateway, Member { incarnation: Incarnation(2), ..unresponsive });
-        until("it is heard of", || gateway.host().log.take_buffered().contains("peers-heard"))
+        until("it is known again", || gateway.host().log.take_buffered().contains("peers-heard"))
             .await;
         assert_eq!(caller.ask(&post("/once/x", "id-3", "{}")).await.status, 200);
         assert_eq!(chosen_by(&gateway), ["asking"]);
--- a/crates/gateway/tests/serving.rs
+++ b/crates/gateway/tests/serving.rs
@@ -311,18 +311,18 @@
 #[test]
 fn a_slow_upstream_is_avoided() {
     on_one_thread(async {
-        let (slow, usual) =
+        let (slow, normal) =
             (StandInUpstream::start("i-1").await, StandInUpstream::start("i-2").await);
-        let (gateway, _) = ready(&[&slow, &usual]).await;
+        let (gateway, _) = ready(&[&slow, &normal]).await;
         slow.tells_load("0,0,6,700");
         let mut caller = Caller::connect(callers(&gateway)).await;
         for round in 0..20 {
             caller.ask(&get("/any/x", &format!("id-{round}"))).await;
         }
-        assert_eq!(usual.seen().len(), 20);
+        assert_eq!(normal.seen().len(), 20);
         // Now their loads are swapped, which is noticed once the load reports are outdated.
         slow.tells_load("0,0,6,100");
-        usual.tells_load("0,0,6,700");
+        normal.tells_load("0,0,6,700");
         let mut round = 20;
         while slow.seen().is_empty() {
             assert!(round < 2_000, "the changed load was not noticed");
