--- a/crates/dispatch/src/upstream.rs
+++ b/crates/dispatch/src/upstream.rs
@@ -78,7 +78,8 @@
     other_requests: f64,
     in_flight: u32,
     sent: DecayingSum,
-    failed: DecayingSum,
+    /// Failed requests; a shed one counts half.
+    failures: DecayingSum,
     ended: DecayingSum,
     failed_probes: u32,
     excluded_until_ms: Millis,
@@ -99,7 +100,7 @@
             other_requests: 0.0,
             in_flight: 0,
             sent: DecayingSum::new(SENT_DECAY_MS),
-            failed: DecayingSum::new(FAILURE_DECAY_MS),
+            failures: DecayingSum::new(FAILURE_DECAY_MS),
             ended: DecayingSum::new(FAILURE_DECAY_MS),
             failed_probes: 0,
             excluded_until_ms: Millis::ZERO,
@@ -135,7 +136,7 @@
     ///
     /// The denominator counts one more success, so that a single failure doesn't give a rate of 1.
     pub fn failure_rate(&self, now_ms: Millis) -> f64 {
-        self.failed.at(now_ms) / (self.ended.at(now_ms) + 1.0)
+        self.failures.at(now_ms) / (self.ended.at(now_ms) + 1.0)
     }
 
     /// When it was first published, as far as this host knows.
@@ -248,9 +249,9 @@
                 | AttemptFailure::Disconnected
                 | AttemptFailure::TimedOut,
             ) => {
-                self.failed.add(now_ms, 1.0);
+                self.failures.add(now_ms, 1.0);
             }
-            Some(AttemptFailure::Shed) => self.failed.add(now_ms, 0.5),
+            Some(AttemptFailure::Shed) => self.failures.add(now_ms, 0.5),
             None => {}
         }
     }
--- a/crates/dispatch/src/upstream_set.rs
+++ b/crates/dispatch/src/upstream_set.rs
@@ -29,7 +29,7 @@
 pub struct UpstreamSet {
     host: HostId,
     zone: ZoneName,
-    known: FastMap<UpstreamId, UpstreamState>,
+    states: FastMap<UpstreamId, UpstreamState>,
     services: FastMap<ServiceName, Service>,
     backpressure: BackpressureSet,
     /// When the first upstream became known.
@@ -39,9 +39,9 @@
 impl UpstreamSet {
     /// An empty set, seen from a host in an availability zone.
     pub fn new(host: HostId, zone: ZoneName) -> UpstreamSet {
-        let (known, services) = (FastMap::default(), FastMap::default());
+        let (states, services) = (FastMap::default(), FastMap::default());
         let backpressure = BackpressureSet::default();
-        UpstreamSet { host, zone, known, services, backpressure, first_known_ms: None }
+        UpstreamSet { host, zone, states, services, backpressure, first_known_ms: None }
     }
 
     /// Applies the published entries: adds new upstreams, removes missing ones, keeps the state of
@@ -55,38 +55,38 @@
         entries: impl Iterator<Item = &'e Entry<Arc<Upstream>>>,
         evacuations: &Evacuations,
     ) {
-        let mut former = std::mem::take(&mut self.known);
+        let mut former = std::mem::take(&mut self.states);
         for service in self.services.values_mut() {
             service.upstreams.clear();
         }
         for entry in entries {
             let id = entry.value.id.clone();
-            let same_run = former.remove(&id).filter(|known| known.is_of_run(entry.value.run));
-            let mut known = same_run.unwrap_or_else(|| UpstreamState::new(entry, now_ms));
+            let same_run = former.remove(&id).filter(|state| state.is_of_run(entry.value.run));
+            let mut state = same_run.unwrap_or_else(|| UpstreamState::new(entry, now_ms));
             let published = entry.value.eligibility(evacuations);
-            known.apply_entry(now_ms, entry, eligibility(published, &known, &self.backpressure));
+            state.apply_entry(now_ms, entry, eligibility(published, &state, &self.backpressure));
             let service = self.services.entry(entry.value.service.clone()).or_default();
             service.upstreams.push(id.clone());
             service.grow_curve(entry.value.slots);
-            self.known.insert(id, known);
+            self.states.insert(id, state);
         }
-        if !self.known.is_empty() {
+        if !self.states.is_empty() {
             self.first_known_ms.get_or_insert(now_ms);
         }
         for service in self.services.values_mut() {
             service.subset =
-                Subset::choose(&self.host, &self.zone, &service.upstreams, &self.known);
+                Subset::choose(&self.host, &self.zone, &service.upstreams, &self.states);
         }
     }
 
-    /// About how many hosts share the health checks of an upstream.
+    /// About how many hosts probe an upstream, sharing its health checks.
     pub fn probing_hosts(&self, service: &ServiceName, id: &UpstreamId, fleet: FleetSize) -> f64 {
         let service = self.services.get(service);
         service.map_or(f64::from(fleet.hosts), |service| service.subset.probing_hosts(id, fleet))
     }
 
-    /// About how many hosts of this availability zone share the health checks of an upstream
-    /// of it.
+    /// About how many hosts of this availability zone probe an upstream of the zone, sharing its
+    /// health checks.
     pub fn probing_hosts_in_zone(&self, service: &ServiceName, fleet: FleetSize) -> f64 {
         let service = self.services.get(service);
         let near = f64::from(fleet.hosts_in_zone);
@@ -95,17 +95,17 @@
 
     /// The state of an upstream.
     pub fn get(&self, id: &UpstreamId) -> Option<&UpstreamState> {
-        self.known.get(id)
+        self.states.get(id)
     }
 
     /// Mutable state of an upstream.
     pub fn get_mut(&mut self, id: &UpstreamId) -> Option<&mut UpstreamState> {
-        self.known.get_mut(id)
+        self.states.get_mut(id)
     }
 
     /// The current process run of an upstream, by its entry.
     pub fn current_run(&self, id: &UpstreamId) -> RunStart {
-        self.known.get(id).map(|known| known.entry.run).unwrap_or_default()
+        self.states.get(id).map(|state| state.entry.run).unwrap_or_default()
     }
 
     /// Whether an upstream restarted since process run `run`.
@@ -116,12 +116,12 @@
     /// Mutable state of an upstream, to record the result of something started during its process
     /// run `run`; none if that run has ended.
     pub fn get_run_mut(&mut self, id: &UpstreamId, run: RunStart) -> Option<&mut UpstreamState> {
-        self.known.get_mut(id).filter(|known| known.is_of_run(run))
+        self.states.get_mut(id).filter(|state| state.is_of_run(run))
     }
 
     /// Whether new requests may be sent to an upstream; none if it is unknown.
     pub fn eligibility(&self, id: &UpstreamId) -> Option<Eligibility> {
-        self.known.get(id).map(|known| known.eligibility)
+        self.states.get(id).map(|state| state.eligibility)
     }
 
     /// Whether new requests may be sent to an upstream.
@@ -130,25 +130,25 @@
     }
 
     /// Records how much longer process run `run` of an upstream stays cold, by a health check's
-    /// response. Where the service has a rate limit for cold upstreams, a response that doesn't
-    /// say means warm.
+    /// response. Where the service has a rate limit for cold upstreams, a response without a time
+    /// means that it is warm.
     pub fn record_warmup_left(
         &mut self,
         now_ms: Millis,
         (id, run): (&UpstreamId, RunStart),
         left_ms: Option<Millis>,
     ) {
-        let Some(known) = self.known.get_mut(id).filter(|known| known.is_of_run(run)) else {
+        let Some(state) = self.states.get_mut(id).filter(|state| state.is_of_run(run)) else {
             return;
         };
-        let service = self.services.get(&known.entry.service);
+        let service = self.services.get(&state.entry.service);
         let tells = service.is_some_and(|service| service.cold_rate.is_some());
-        known.record_warmup_left(now_ms, left_ms.or(tells.then_some(Millis::ZERO)));
+        state.record_warmup_left(now_ms, left_ms.or(tells.then_some(Millis::ZERO)));
     }
 
     /// Number of upstreams that are cold, or may be.
     pub fn count_cold(&self, now_ms: Millis) -> usize {
-        self.known.values().filter(|known| known.warmth(now_ms) != Warmth::Warm).count()
+        self.states.values().filter(|state| state.warmth(now_ms) != Warmth::Warm).count()
     }
 
     /// Applies the rate limits for cold upstreams from the routing.
@@ -170,7 +170,7 @@
 
     /// Whether an upstream is in another availability zone than this host.
     pub fn is_in_other_zone(&self, id: &UpstreamId) -> bool {
-        self.known.get(id).is_some_and(|known| known.entry.availability_zone != self.zone)
+        self.states.get(id).is_some_and(|state| state.entry.availability_zone != self.zone)
     }
 
     /// The upstreams of a service, leaving ones included.
@@ -186,7 +186,7 @@
     /// The availability zone of each eligible upstream of a service.
     fn eligible_zones(&self, service: &ServiceName) -> impl Iterator<Item = &ZoneName> {
         let eligible = self.of_service(service).iter().filter(|id| self.accepts_requests(id));
-        eligible.filter_map(|id| self.known.get(id)).map(|known| &known.entry.availability_zone)
+        eligible.filter_map(|id| self.states.get(id)).map(|state| &state.entry.availability_zone)
     }
 
     /// Draws another availability zone with eligible upstreams of a service, weighted by their
@@ -207,29 +207,29 @@
         self.of_service(service).iter().filter(|id| self.accepts_requests(id)).count()
     }
 
-    /// What a request of this host would cost at an upstream now.
+    /// The estimated cost of a request of this host at an upstream.
     pub fn estimate_cost(&self, now_ms: Millis, id: &UpstreamId) -> Option<Candidate> {
         self.estimate_cost_from(now_ms, id, &self.zone)
     }
 
-    /// What a request of a host in an availability zone would cost at an upstream now.
+    /// The estimated cost of a request of a host in availability zone `zone` at an upstream.
     pub fn estimate_cost_from(
         &self,
         now_ms: Millis,
         id: &UpstreamId,
         zone: &ZoneName,
     ) -> Option<Candidate> {
-        let known = self.known.get(id)?;
-        let service = self.services.get(&known.entry.service)?;
-        let is_other_zone = known.entry.availability_zone != *zone;
-        let (load, curve) = (service.load, service.curve(known.entry.slots)?);
-        Some(estimate_cost(known, CostInputs { load, curve, now_ms, is_other_zone }))
+        let state = self.states.get(id)?;
+        let service = self.services.get(&state.entry.service)?;
+        let is_other_zone = state.entry.availability_zone != *zone;
+        let (load, curve) = (service.load, service.curve(state.entry.slots)?);
+        Some(estimate_cost(state, CostInputs { load, curve, now_ms, is_other_zone }))
     }
 
     /// How an upstream slows down as its slots fill.
     pub fn curve(&self, id: &UpstreamId) -> Option<&SpeedCurve> {
-        let known = self.known.get(id)?;
-        self.services.get(&known.entry.service)?.curve(known.entry.slots)
+        let state = self.states.get(id)?;
+        self.services.get(&state.entry.service)?.curve(state.entry.slots)
     }
 
     /// Records the load that process run `run` of an upstream reported.
@@ -239,43 +239,44 @@
         (id, run): (&UpstreamId, RunStart),
         report: LoadReport,
     ) {
-        let Some(known) = self.known.get_mut(id).filter(|known| known.is_of_run(run)) else {
+        let Some(state) = self.states.get_mut(id).filter(|state| state.is_of_run(run)) else {
             return;
         };
-        known.record_report(now_ms, report);
-        if let Some(service) = self.services.get_mut(&known.entry.service) {
-            service.record_report(&report, known.in_flight());
+        state.record_report(now_ms, report);
+        if let Some(service) = self.services.get_mut(&state.entry.service) {
+            service.record_report(&report, state.in_flight());
         }
     }
 
-    /// How loaded the upstreams of a service are.
+    /// The mean load of a service's upstreams.
     pub fn load(&self, service: &ServiceName) -> ServiceLoad {
         self.services.get(service).map_or_else(ServiceLoad::default, |service| service.load)
     }
 
-    /// An answer took so long where so much work was expected.
+    /// Records that a response took `took_ms`, where `work` usual service times were expected.
     pub fn record_duration(&mut self, service: &ServiceName, took_ms: Millis, work: f64) {
         if let Some(service) = self.services.get_mut(service) {
             service.record_duration(took_ms, work);
         }
     }
 
-    /// A request ran so on an upstream.
+    /// Records how long a request ran on an upstream, and beside how many others.
     pub fn record_service_time(&mut self, id: &UpstreamId, sample: &ServiceTimeSample) {
-        let Some(known) = self.known.get(id) else { return };
-        if let Some(service) = self.services.get_mut(&known.entry.service) {
-            service.record_service_time(known.entry.slots, sample);
+        let Some(state) = self.states.get(id) else { return };
+        if let Some(service) = self.services.get_mut(&state.entry.service) {
+            service.record_service_time(state.entry.slots, sample);
         }
     }
 
-    /// An answer of a busy or slow upstream took so long where so much work was expected.
+    /// Records that a response of a busy or slow upstream took `took_ms`, where `work` usual
+    /// service times were expected.
     pub fn record_overrun(&mut self, service: &ServiceName, took_ms: Millis, work: f64) {
         if let Some(service) = self.services.get_mut(service) {
             service.record_overrun(took_ms, work);
         }
     }
 
-    /// How long so much work is expected to take; none before anything was learned.
+    /// The expected duration of `work` usual service times; none before anything was recorded.
     pub fn expected_ms(&self, service: &ServiceName, work: f64) -> Option<Millis> {
         self.services.get(service).and_then(|service| service.expected_ms(work))
     }
--- a/crates/dispatch/src/upstream_set/limits.rs
+++ b/crates/dispatch/src/upstream_set/limits.rs
@@ -16,34 +16,34 @@
     /// stated and, while it is or may be cold, the limit of its service for cold upstreams. None
     /// if it is unlimited.
     pub fn fleet_rate(&self, now_ms: Millis, id: &UpstreamId) -> Option<FleetRate> {
-        let known = self.known.get(id)?;
-        let stated = self.backpressure.rate_limit(id, known.entry.run);
-        match (stated, self.cold_rate(now_ms, known)) {
+        let state = self.states.get(id)?;
+        let stated = self.backpressure.rate_limit(id, state.entry.run);
+        match (stated, self.cold_rate(now_ms, state)) {
             (Some(stated), Some(cold)) if cold.rate < stated.rate => Some(cold),
             (stated, cold) => stated.or(cold),
         }
     }
 
-    fn cold_rate(&self, now_ms: Millis, known: &UpstreamState) -> Option<FleetRate> {
-        if known.warmth(now_ms) == Warmth::Warm {
+    fn cold_rate(&self, now_ms: Millis, state: &UpstreamState) -> Option<FleetRate> {
+        if state.warmth(now_ms) == Warmth::Warm {
             return None;
         }
-        let rate = self.services.get(&known.entry.service)?.cold_rate?;
-        Some(FleetRate { rate, since_ms: known.cold_since_ms(), sent_before: None })
+        let rate = self.services.get(&state.entry.service)?.cold_rate?;
+        Some(FleetRate { rate, since_ms: state.cold_since_ms(), sent_before: None })
     }
 
     /// Time for which this host must still back off from an upstream that asked for it; none if it
     /// need not.
     pub fn remaining_backoff(&self, now_ms: Millis, id: &UpstreamId) -> Option<Millis> {
-        let known = self.known.get(id)?;
-        self.backpressure.remaining_backoff(now_ms, id, known.entry.run)
+        let state = self.states.get(id)?;
+        self.backpressure.remaining_backoff(now_ms, id, state.entry.run)
     }
 
     /// The upstreams of a service that asked this host to back off.
     pub fn upstreams_in_backoff(&self, now_ms: Millis, service: &ServiceName) -> Vec<UpstreamId> {
         let is_of_service = |id: &&UpstreamId| {
-            let known = self.known.get(*id);
-            known.is_some_and(|known| known.entry.service == *service)
+            let state = self.states.get(*id);
+            state.is_some_and(|state| state.entry.service == *service)
         };
         let of_service = self.backpressure.upstreams_in_backoff(now_ms).filter(is_of_service);
         // The process run that asked for it may have ended.
@@ -102,14 +102,14 @@
 
     /// Requests sent to a process run of an upstream in about the last second.
     fn recently_sent_to(&self, now_ms: Millis, (id, run): (&UpstreamId, RunStart)) -> f64 {
-        let known = self.known.get(id).filter(|known| known.is_of_run(run));
-        known.map_or(0.0, |known| known.recently_sent(now_ms))
+        let state = self.states.get(id).filter(|state| state.is_of_run(run));
+        state.map_or(0.0, |state| state.recently_sent(now_ms))
     }
 
     /// Updates an upstream's eligibility, since it may have announced that it is leaving.
     fn update_eligibility(&mut self, id: &UpstreamId) {
-        if let Some(known) = self.known.get_mut(id) {
-            known.eligibility = eligibility(known.eligibility, known, &self.backpressure);
+        if let Some(state) = self.states.get_mut(id) {
+            state.eligibility = eligibility(state.eligibility, state, &self.backpressure);
         }
     }
 
@@ -133,9 +133,9 @@
         now_ms: Millis,
         told: Vec<BackpressureUpdate>,
     ) -> Vec<BackpressureChange> {
-        let UpstreamSet { backpressure, known, .. } = self;
+        let UpstreamSet { backpressure, states, .. } = self;
         let sent_before =
-            |id: &UpstreamId| known.get(id).map_or(0.0, |known| known.recently_sent(now_ms));
+            |id: &UpstreamId| states.get(id).map_or(0.0, |state| state.recently_sent(now_ms));
         let changes = backpressure.merge(now_ms, told, sent_before);
         changes.iter().for_each(|change| self.update_eligibility(&change.upstream));
         changes
@@ -143,18 +143,18 @@
 
     /// Drops what upstreams stated that no longer exist.
     pub fn forget_backpressure(&mut self, now_ms: Millis) {
-        let UpstreamSet { backpressure, known, .. } = self;
-        backpressure.forget(now_ms, |id| known.contains_key(id));
+        let UpstreamSet { backpressure, states, .. } = self;
+        backpressure.forget(now_ms, |id| states.contains_key(id));
     }
 }
 
 /// The published eligibility, unless the upstream itself announced that it is leaving.
 pub(super) fn eligibility(
     published: Eligibility,
-    known: &UpstreamState,
+    state: &UpstreamState,
     backpressure: &BackpressureSet,
 ) -> Eligibility {
-    let entry = &known.entry;
+    let entry = &state.entry;
     match published {
         Eligibility::Eligible if backpressure.is_leaving(&entry.id, entry.run) => {
             Eligibility::SaysLeaving
--- a/crates/dispatch/src/upstream_set/probe_targets.rs
+++ b/crates/dispatch/src/upstream_set/probe_targets.rs
@@ -87,7 +87,7 @@
         zone_scope: ZoneScope,
     ) -> Option<Group> {
         Some(Group {
-            is_excluded: self.known.get(id)?.is_excluded(now_ms),
+            is_excluded: self.states.get(id)?.is_excluded(now_ms),
             is_outside_subset: !service.subset.contains(id),
             is_unwanted_zone: self.is_in_other_zone(id) != (zone_scope == ZoneScope::Other),
         })
@@ -100,16 +100,16 @@
         is_connected: bool,
         rng: &mut Pcg64Mcg,
     ) -> Option<f64> {
-        let known = self.known.get(id)?;
+        let state = self.states.get(id)?;
         // [`Group`] handles the zone here, so it doesn't add to the cost.
-        let cost = self.estimate_cost_from(now_ms, id, &known.entry.availability_zone)?.cost;
-        let is_preferred = is_connected || self.is_new_upstream(now_ms, known);
+        let cost = self.estimate_cost_from(now_ms, id, &state.entry.availability_zone)?.cost;
+        let is_preferred = is_connected || self.is_new_upstream(now_ms, state);
         let connecting = if is_preferred { 0.0 } else { CONNECT_COST };
         Some(cost * (1.0 + COST_JITTER * rng.random::<f64>()) + connecting)
     }
 
-    fn is_new_upstream(&self, now_ms: Millis, known: &UpstreamState) -> bool {
-        let first_seen_ms = known.first_seen_ms();
+    fn is_new_upstream(&self, now_ms: Millis, state: &UpstreamState) -> bool {
+        let first_seen_ms = state.first_seen_ms();
         let joined_later =
             self.first_known_ms.is_some_and(|at_ms| first_seen_ms.since(at_ms) >= INITIAL_LOAD_MS);
         joined_later && now_ms.since(first_seen_ms) < NEW_UPSTREAM_MS
