--- a/crates/dispatch/src/backpressure.rs
+++ b/crates/dispatch/src/backpressure.rs
@@ -1,4 +1,4 @@
-//! Load and leaving that upstreams state in their responses, and what follows for hosts.
+//! Backpressure: what upstreams state in their responses about their load, and about leaving.
 //!
 //! An upstream that refuses a request may ask the host that sent it to back off for a while; that
 //! concerns this host only. An overloaded upstream limits the requests a second that it accepts
@@ -22,8 +22,8 @@
 use statements::{Leaving, Statements};
 use std::cmp::Reverse;
 
-/// How long statements of an upstream are kept that isn't published: its entry may expire while
-/// the source is unreachable, and return.
+/// How long the statements of an unpublished upstream are kept: its entry may expire while the
+/// source is unreachable, and return.
 const RETENTION_MS: Millis = Millis(60_000);
 
 /// Upstreams in one message: 30 bytes each, to fit in one datagram.
--- a/crates/dispatch/src/fleet_rate/sharing.rs
+++ b/crates/dispatch/src/fleet_rate/sharing.rs
@@ -14,9 +14,9 @@
 /// Allowance for the transit time of a message that lends a share.
 const TRANSIT_MS: Millis = Millis(100);
 
-/// Share of a cell's hosts that must lend to the first scheduler in order before it spends the
-/// whole rate, as long as the upstream shows no requests of others. Most hosts of a large fleet
-/// have no request within [`LENT_MS`], so waiting for all of them would leave capacity unused.
+/// Share of a cell's hosts that must lend to its primary scheduler before that spends the whole
+/// rate, as long as the upstream shows no requests of others. Most hosts of a large fleet have no
+/// request within [`LENT_MS`], so waiting for all of them would leave capacity unused.
 const FULL_RATE_LENDERS: f64 = 0.15;
 
 /// For this long after its start, a host knows too few other hosts to compute its share.
@@ -141,8 +141,8 @@
     pub(crate) of_fleet: f64,
     /// Share of the hosts that prefer the cell: all hosts, or those of its availability zone.
     pub(crate) of_cell: f64,
-    /// No other host precedes it in order. Of two hosts that both schedule a cell, only one may
-    /// spend more than it was lent.
+    /// Whether the scheduler is the cell's primary one. Of two hosts that both schedule a cell,
+    /// only that one may spend more than it was lent.
     pub(crate) is_primary: bool,
 }
 
