--- a/crates/dispatch/tests/support/crash_simulation.rs
+++ b/crates/dispatch/tests/support/crash_simulation.rs
@@ -157,7 +157,7 @@
         self.events.push(Some(event));
     }
 
-    /// Schedules the next event of one that occurs at a rate.
+    /// Schedules the next event of a kind that occurs at a rate.
     fn schedule_next(&mut self, event: Event) {
         let per_s = match event {
             Event::CrashingRequest => self.scenario.crashing_per_s,
--- a/crates/dispatch/tests/support/rate_simulation.rs
+++ b/crates/dispatch/tests/support/rate_simulation.rs
@@ -243,8 +243,8 @@
     fn generate_requests(&mut self) {
         let per_ms =
             self.scenario.rate * self.scenario.upstreams as f64 * self.scenario.demand / 1_000.0;
-        let target = per_ms * STEP_MS as f64;
-        let count = target as usize + usize::from(self.rng.random_bool(target.fract()));
+        let expected = per_ms * STEP_MS as f64;
+        let count = expected as usize + usize::from(self.rng.random_bool(expected.fract()));
         for _ in 0..count {
             let host = self.rng.random_range(0..self.hosts.len());
             // A host that starts serves once a peer has responded.
@@ -291,12 +291,12 @@
         let now_ms = Millis(self.now_ms);
         let hosts = known_fleet(&self.scenario, now_ms).hosts;
         let Host { upstreams, rng, rate_limiter, .. } = &mut self.hosts[host];
-        let held_back = rate_limiter.blocked_upstreams(now_ms, upstreams, &service(), hosts);
-        let part = (3, ZoneScope::Local);
-        let asked =
-            upstreams.choose_probe_targets(now_ms, &service(), &held_back, part, |_| false, rng);
+        let blocked = rate_limiter.blocked_upstreams(now_ms, upstreams, &service(), hosts);
+        let choice = (3, ZoneScope::Local);
+        let targets =
+            upstreams.choose_probe_targets(now_ms, &service(), &blocked, choice, |_| false, rng);
         let running = |id: &UpstreamId| self.running.get(id).copied().unwrap_or_default();
-        let Some(chosen) = asked.into_iter().find(|id| running(id) < SLOTS) else { return };
+        let Some(chosen) = targets.into_iter().find(|id| running(id) < SLOTS) else { return };
         rate_limiter.record_sent(now_ms, upstreams, &chosen, hosts);
         self.start_request(&chosen, host, None);
     }
@@ -355,8 +355,8 @@
                     return;
                 }
                 let Some(to) = self.awaiting.remove(&(host, ticket)) else { return };
-                let silent = self.hosts[to].member.host.clone();
-                self.hosts[host].directory.record_timeout(now_ms, &silent);
+                let scheduler = self.hosts[to].member.host.clone();
+                self.hosts[host].directory.record_timeout(now_ms, &scheduler);
                 self.withdraw(host, to, Ticket(ticket));
                 self.send_without_scheduler(host);
             }
@@ -447,7 +447,7 @@
         let fleet = known_fleet(&self.scenario, now_ms);
         let is_due = self.now_ms.is_multiple_of(DIGEST_INTERVAL_MS);
         if is_due || self.hosts[at].schedulers.has_unknown_primary() {
-            self.update_first_cells(at);
+            self.update_primary(at);
         }
         let Host { schedulers, upstreams, rng, .. } = &mut self.hosts[at];
         schedulers.set_fleet(fleet);
@@ -458,7 +458,7 @@
         self.apply_effects(at, effects);
     }
 
-    fn update_first_cells(&mut self, at: usize) {
+    fn update_primary(&mut self, at: usize) {
         let members = match self.scenario.fault {
             Fault::JustStarted => vec![self.hosts[at].member.clone()],
             _ => self.members(),
