--- a/crates/dispatch/src/upstream.rs
+++ b/crates/dispatch/src/upstream.rs
@@ -6,7 +6,7 @@
 
 use crate::LoadReport;
 use crate::cold::{Warmth, WarmupState};
-use crate::service_load::{ServiceLoad, told_others};
+use crate::service_load::{ServiceLoad, other_requests};
 use domain::Millis;
 use published::{Eligibility, Entry, Revision, RunStart, Upstream};
 use serde::{Deserialize, Serialize};
@@ -200,7 +200,7 @@
     /// Records a load report.
     pub fn record_report(&mut self, now_ms: Millis, report: LoadReport) {
         self.report = Some((report, now_ms));
-        self.other_requests = told_others(&report, self.in_flight);
+        self.other_requests = other_requests(&report, self.in_flight);
     }
 
     /// Records a successful probe.
--- a/crates/dispatch/src/upstream_set.rs
+++ b/crates/dispatch/src/upstream_set.rs
@@ -67,7 +67,7 @@
             state.apply_entry(now_ms, entry, eligibility(published, &state, &self.backpressure));
             let service = self.services.entry(entry.value.service.clone()).or_default();
             service.upstreams.push(id.clone());
-            service.grow_curve(entry.value.slots);
+            service.ensure_curve(entry.value.slots);
             self.states.insert(id, state);
         }
         if !self.states.is_empty() {
--- a/crates/dispatch/tests/support/rate_simulation/responses.rs
+++ b/crates/dispatch/tests/support/rate_simulation/responses.rs
@@ -52,7 +52,7 @@
             received.stated_ms.entry(host).or_insert(self.now_ms);
         }
         let upstreams = &mut self.hosts[host].upstreams;
-        upstreams.record_backpressure(now_ms, at, outcome.answer_kind(), outcome.backpressure);
+        upstreams.record_backpressure(now_ms, at, outcome.response_kind(), outcome.backpressure);
         let updates = upstreams.backpressure_mut().take_pending(now_ms);
         if !updates.is_empty() {
             self.broadcast(host, &updates);
--- a/crates/published/src/gossip/receiving.rs
+++ b/crates/published/src/gossip/receiving.rs
@@ -131,9 +131,9 @@
     ) -> bool {
         let at_ms = now_ms - update.age_ms;
         let changes = update.changes.clone().unwrap_or_default();
-        let held = self.state.revision();
-        let is_complete = update.after <= held && update.after <= update.revision;
-        let revision = if is_complete { update.revision } else { held };
+        let own_revision = self.state.revision();
+        let is_complete = update.after <= own_revision && update.after <= update.revision;
+        let revision = if is_complete { update.revision } else { own_revision };
         let (state_changes, is_gapless) =
             self.state.apply_changes(at_ms, update.after, revision, changes);
         effects.push(Effect::StateUpdated {
@@ -187,8 +187,8 @@
         effects.push(Effect::Fetch(fetch));
     }
 
-    /// The hosts to fetch from: the sender, then local-zone peers, which may have it by now, as a host
-    /// answers few large fetches at once. While this host has no full snapshot, local-zone
+    /// The hosts to fetch from: the sender, then local-zone peers, which may have it by now, as
+    /// a host answers few large fetches at once. While this host has no full snapshot, local-zone
     /// peers come first: they have the same, and their traffic is free.
     pub(super) fn fetch_candidates(&mut self, sender: SocketAddr) -> Vec<SocketAddr> {
         let mut local_peers = self.members.local_zone_peers();
