--- a/crates/dispatch/src/backpressure.rs
+++ b/crates/dispatch/src/backpressure.rs
@@ -239,8 +239,9 @@
         self.statements.retain(|id, statements| {
             let is_recent = now_ms.since(statements.stated_ms) < RETENTION_MS;
             let is_backing_off = now_ms < statements.backoff_until_ms;
-            let holds = statements.limit.in_force().is_some() || statements.is_leaving();
-            is_recent || is_backing_off || (is_known(id) && holds)
+            let is_limited_or_leaving =
+                statements.limit.in_force().is_some() || statements.is_leaving();
+            is_recent || is_backing_off || (is_known(id) && is_limited_or_leaving)
         });
     }
 
--- a/crates/dispatch/src/backpressure/statements.rs
+++ b/crates/dispatch/src/backpressure/statements.rs
@@ -88,10 +88,10 @@
     /// Digest of what peers need to know; none if that is nothing.
     pub(super) fn digest(&self, id: &UpstreamId) -> Option<u64> {
         let limit = self.limit.broadcast_rate().map(|rate| rate.0.to_bits());
-        let holds = limit.is_some() || self.is_leaving();
+        let has_any = limit.is_some() || self.is_leaving();
         let mut hasher = FxHasher::default();
         (id, self.run, limit, self.is_leaving()).hash(&mut hasher);
-        holds.then(|| hasher.finish())
+        has_any.then(|| hasher.finish())
     }
 
     /// The update for peers.
--- a/crates/dispatch/src/fleet_rate/budget.rs
+++ b/crates/dispatch/src/fleet_rate/budget.rs
@@ -34,7 +34,7 @@
 /// Token bucket of one upstream.
 #[derive(Debug, Clone, Copy)]
 struct TokenBucket {
-    left: f64,
+    tokens: f64,
     at_ms: Millis,
 }
 
@@ -52,7 +52,7 @@
         limit: FleetRate,
         share: f64,
     ) -> bool {
-        self.left(now_ms, id, limit, share) >= 1.0
+        self.tokens(now_ms, id, limit, share) >= 1.0
     }
 
     /// Time until a sender that has this share of the rate may send its next request.
@@ -63,7 +63,7 @@
         limit: FleetRate,
         share: f64,
     ) -> Millis {
-        let missing = 1.0 - self.left(now_ms, id, limit, share);
+        let missing = 1.0 - self.tokens(now_ms, id, limit, share);
         let rate_per_ms = limit.rate.0 * share / 1_000.0;
         match missing > 0.0 {
             true => Millis((missing / rate_per_ms.max(1e-9)) as u64),
@@ -73,14 +73,14 @@
 
     /// Deducts a request that is sent.
     pub(crate) fn spend(&mut self, now_ms: Millis, id: &UpstreamId, limit: FleetRate, share: f64) {
-        let left = self.left(now_ms, id, limit, share) - 1.0;
-        self.buckets.insert(id.clone(), TokenBucket { left, at_ms: now_ms });
+        let tokens = self.tokens(now_ms, id, limit, share) - 1.0;
+        self.buckets.insert(id.clone(), TokenBucket { tokens, at_ms: now_ms });
     }
 
     /// Returns a request that was not sent after all.
     pub(crate) fn refund(&mut self, id: &UpstreamId) {
         if let Some(bucket) = self.buckets.get_mut(id) {
-            bucket.left += 1.0;
+            bucket.tokens += 1.0;
         }
     }
 
@@ -89,25 +89,26 @@
         self.buckets.retain(|id, _| has_rate(id));
     }
 
-    fn left(&self, now_ms: Millis, id: &UpstreamId, limit: FleetRate, share: f64) -> f64 {
+    fn tokens(&self, now_ms: Millis, id: &UpstreamId, limit: FleetRate, share: f64) -> f64 {
         let rate = limit.rate.0 * share;
         if rate <= 0.0 {
             return 0.0;
         }
         let is_of_this_limit = |bucket: &&TokenBucket| bucket.at_ms >= limit.since_ms;
         let former = self.buckets.get(id).filter(is_of_this_limit).copied();
-        let TokenBucket { left, at_ms } = former.unwrap_or_else(|| self.initial(id, limit, share));
+        let TokenBucket { tokens, at_ms } =
+            former.unwrap_or_else(|| self.initial(id, limit, share));
         let gained = now_ms.since(at_ms).as_f64() / 1_000.0 * rate;
-        match left + gained {
-            left if rate * MAX_SAVED_S >= 1.0 => left.min(rate * MAX_SAVED_S),
+        match tokens + gained {
+            tokens if rate * MAX_SAVED_S >= 1.0 => tokens.min(rate * MAX_SAVED_S),
             // Less than one request can be saved up in time: a token that isn't used expires
             // again.
-            left if left >= 1.0 => {
+            tokens if tokens >= 1.0 => {
                 let cycle = 1.0 + MAX_SAVED_S * rate;
-                let grown = (left - 1.0) % cycle;
+                let grown = (tokens - 1.0) % cycle;
                 if grown <= MAX_SAVED_S * rate { 1.0 } else { grown - MAX_SAVED_S * rate }
             }
-            left => left,
+            tokens => tokens,
         }
     }
 
@@ -120,6 +121,6 @@
         let rate = limit.rate.0 * share;
         let sent_before = limit.sent_before.unwrap_or_default();
         let deducted = (sent_before - rate).clamp(0.0, MAX_DEDUCTED_S * rate);
-        TokenBucket { left: initial - deducted, at_ms: limit.since_ms }
+        TokenBucket { tokens: initial - deducted, at_ms: limit.since_ms }
     }
 }
--- a/crates/dispatch/src/fleet_rate/sharing.rs
+++ b/crates/dispatch/src/fleet_rate/sharing.rs
@@ -122,7 +122,7 @@
     fn share(&self, now_ms: Millis, upstreams: &UpstreamSet, id: &UpstreamId, hosts: u32) -> f64 {
         let is_lent = self.lent.iter().any(|(cell, (_, lent_ms))| {
             now_ms.since(*lent_ms) < LENT_MS
-                && upstreams.get(id).is_some_and(|known| cell.contains(&known.entry))
+                && upstreams.get(id).is_some_and(|state| cell.contains(&state.entry))
         });
         if is_lent { 0.0 } else { 1.0 / f64::from(hosts.max(1)) }
     }
--- a/crates/dispatch/src/quarantine/suspect.rs
+++ b/crates/dispatch/src/quarantine/suspect.rs
@@ -93,7 +93,7 @@
     /// together.
     pub(super) fn add_crash(&mut self, crash: Crash) -> bool {
         let is_cleared = self.cleared_ms.is_some_and(|cleared_ms| crash.crashed_ms <= cleared_ms);
-        if is_cleared || self.crashes.iter().any(|known| known.is_same(&crash)) {
+        if is_cleared || self.crashes.iter().any(|counted| counted.is_same(&crash)) {
             return false;
         }
         let before = self.crashes.len();
--- a/crates/dispatch/src/upstream_set.rs
+++ b/crates/dispatch/src/upstream_set.rs
@@ -89,8 +89,8 @@
     /// health checks.
     pub fn probing_hosts_in_zone(&self, service: &ServiceName, fleet: FleetSize) -> f64 {
         let service = self.services.get(service);
-        let near = f64::from(fleet.hosts_in_zone);
-        service.map_or(near, |service| service.subset.probing_hosts_in_zone(fleet))
+        let hosts_in_zone = f64::from(fleet.hosts_in_zone);
+        service.map_or(hosts_in_zone, |service| service.subset.probing_hosts_in_zone(fleet))
     }
 
     /// The state of an upstream.
@@ -142,8 +142,8 @@
             return;
         };
         let service = self.services.get(&state.entry.service);
-        let tells = service.is_some_and(|service| service.cold_rate.is_some());
-        state.record_warmup_left(now_ms, left_ms.or(tells.then_some(Millis::ZERO)));
+        let has_cold_rate = service.is_some_and(|service| service.cold_rate.is_some());
+        state.record_warmup_left(now_ms, left_ms.or(has_cold_rate.then_some(Millis::ZERO)));
     }
 
     /// Number of upstreams that are cold, or may be.
--- a/crates/dispatch/src/upstream_set/limits.rs
+++ b/crates/dispatch/src/upstream_set/limits.rs
@@ -131,12 +131,12 @@
     pub fn merge_backpressure(
         &mut self,
         now_ms: Millis,
-        told: Vec<BackpressureUpdate>,
+        updates: Vec<BackpressureUpdate>,
     ) -> Vec<BackpressureChange> {
         let UpstreamSet { backpressure, states, .. } = self;
         let sent_before =
             |id: &UpstreamId| states.get(id).map_or(0.0, |state| state.recently_sent(now_ms));
-        let changes = backpressure.merge(now_ms, told, sent_before);
+        let changes = backpressure.merge(now_ms, updates, sent_before);
         changes.iter().for_each(|change| self.update_eligibility(&change.upstream));
         changes
     }
