--- a/crates/dispatch/tests/backoff.rs
+++ b/crates/dispatch/tests/backoff.rs
@@ -46,14 +46,14 @@
 #[case::capped(&[StatedBackoff(0, FAILED, Some(31_536_000_000))], Some(59_500))]
 fn a_host_backs_off_for_as_long_as_it_was_asked(
     #[case] responses: &[StatedBackoff],
-    #[case] wanted: Option<u64>,
+    #[case] expected: Option<u64>,
 ) {
     let mut set = set(&[entry("i-1", "kariakoo")]);
     for StatedBackoff(after_ms, kind, backoff_ms) in responses {
         let (at_ms, stated) = (NOW + Millis(*after_ms), backoff(*backoff_ms));
         set.record_backpressure(at_ms, (&id("i-1"), RUN), *kind, stated);
     }
-    assert_eq!(remaining_ms(&set, 500), wanted);
+    assert_eq!(remaining_ms(&set, 500), expected);
 }
 
 #[test]
@@ -97,7 +97,7 @@
 #[case::the_shortest_counts(&[Some(3_000), Some(700)], Some(700))]
 fn the_next_request_may_be_sent_when_the_shortest_backoff_ends(
     #[case] backoffs: &[Option<u64>],
-    #[case] wanted: Option<u64>,
+    #[case] expected: Option<u64>,
 ) {
     let names = ["i-1", "i-2"];
     let mut set = set(&names.map(|name| entry(name, "kariakoo")));
@@ -105,7 +105,7 @@
         set.record_backpressure(NOW, (&id(name), RUN), FAILED, backoff(*backoff_ms));
     }
     let next_request_in = set.next_request_in(NOW, &"parts".parse().unwrap());
-    assert_eq!(next_request_in, wanted.map(Millis));
+    assert_eq!(next_request_in, expected.map(Millis));
 }
 
 /// A scheduler, and two hosts that submit requests to it.
@@ -159,10 +159,10 @@
 }
 
 /// When the caller of a refused request may retry.
-fn refused_for(effects: &[Effect], wanted: Ticket) -> Option<u64> {
+fn refused_for(effects: &[Effect], expected: Ticket) -> Option<u64> {
     effects.iter().find_map(|effect| match effect {
         Effect::Send { message: PlacementMessage::Refused { ticket, cause }, .. }
-            if *ticket == wanted =>
+            if *ticket == expected =>
         {
             match cause {
                 RefusalCause::NoRoom { retry_after_ms, .. } => Some(retry_after_ms.0),
--- a/crates/dispatch/tests/backoff_fleet.rs
+++ b/crates/dispatch/tests/backoff_fleet.rs
@@ -14,10 +14,10 @@
 const LATENCY_MS: u64 = 4;
 
 #[rstest]
-#[case::calm(Fault::Nothing)]
+#[case::no_fault(Fault::Nothing)]
 #[case::lossy(Fault::Lossy)]
 #[case::split(Fault::Split)]
-#[case::nobody_schedules(Fault::NoScheduler)]
+#[case::no_scheduler(Fault::NoScheduler)]
 #[case::schedulers_are_killed(Fault::SchedulersKilled { each_ms: 300 })]
 fn no_host_sends_during_a_backoff(#[case] fault: Fault, #[values(13, 111, 472)] hosts: usize) {
     let mut refused = 0;
@@ -36,13 +36,14 @@
             seed,
         };
         let received = Simulation::run_with_sources(&scenario);
-        for of in received.values().filter(|of| !of.stated_ms.is_empty()) {
-            refused += of.arrivals.iter().filter(|(at_ms, _)| *at_ms >= FROM_MS).count();
-            for (host, known_ms) in &of.stated_ms {
+        for at_upstream in received.values().filter(|at_upstream| !at_upstream.stated_ms.is_empty())
+        {
+            refused += at_upstream.arrivals.iter().filter(|(at_ms, _)| *at_ms >= FROM_MS).count();
+            for (host, known_ms) in &at_upstream.stated_ms {
                 let backoff = known_ms + LATENCY_MS..known_ms + BACKOFF_MS;
                 let is_in_backoff =
                     |(at_ms, from): &&(u64, usize)| from == host && backoff.contains(at_ms);
-                let violations = of.arrivals.iter().filter(is_in_backoff).count();
+                let violations = at_upstream.arrivals.iter().filter(is_in_backoff).count();
                 // A host that was restarted meanwhile has lost this state.
                 let may_have_restarted = matches!(fault, Fault::SchedulersKilled { .. });
                 assert!(
--- a/crates/dispatch/tests/cold.rs
+++ b/crates/dispatch/tests/cold.rs
@@ -44,7 +44,7 @@
 }
 
 #[rstest]
-#[case::calm(Fault::Nothing)]
+#[case::no_fault(Fault::Nothing)]
 #[case::lossy(Fault::Lossy)]
 #[case::a_third_is_cut_off(Fault::CutOff { every: 3 })]
 #[case::all_are_cut_off(Fault::CutOff { every: 1 })]
@@ -137,7 +137,7 @@
 #[case::not_down_after_all(&[Event::Unreachable, Event::HealthCheck(None)], Warmth::Warm)]
 #[case::evacuated(&[Event::Entry(0), Event::Evacuated, Event::Restored], Warmth::Unknown)]
 #[case::restored_warm(&[Event::Evacuated, Event::Restored, Event::HealthCheck(Some(0))], Warmth::Warm)]
-fn coldness_is_learned(#[case] events: &[Event], #[case] wanted: Warmth) {
+fn coldness_is_learned(#[case] events: &[Event], #[case] expected: Warmth) {
     let mut set = set_of(&cold_entry(0), Some(PerSecond(RATE)));
     let mut state = PublishedState::default();
     let upstream = (&id("i-1"), RunStart::default());
@@ -170,16 +170,16 @@
             }
         }
     }
-    assert_eq!(set.get(upstream.0).unwrap().warmth(NOW), wanted);
-    assert_eq!(set.fleet_rate(NOW, upstream.0).is_some(), wanted != Warmth::Warm);
+    assert_eq!(set.get(upstream.0).unwrap().warmth(NOW), expected);
+    assert_eq!(set.fleet_rate(NOW, upstream.0).is_some(), expected != Warmth::Warm);
 }
 
 #[test]
 fn a_cold_upstream_becomes_warm_after_its_stated_time() {
     let set = set_of(&cold_entry(3_000), Some(PerSecond(RATE)));
-    let known = set.get(&id("i-1")).unwrap();
-    assert_eq!(known.warmth(NOW + Millis(2_999)), Warmth::Cold);
-    assert_eq!(known.warmth(NOW + Millis(3_000)), Warmth::Warm);
+    let state = set.get(&id("i-1")).unwrap();
+    assert_eq!(state.warmth(NOW + Millis(2_999)), Warmth::Cold);
+    assert_eq!(state.warmth(NOW + Millis(3_000)), Warmth::Warm);
 }
 
 /// Without a rate limit for cold upstreams, a cold one is only assumed to be slow, and its
--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -75,12 +75,12 @@
 #[case::all(&["kariakoo", "msasani", "temeke"], None)]
 fn a_request_goes_to_the_scheduler_of_a_zone_with_eligible_upstreams(
     #[case] evacuated: &[&str],
-    #[case] wanted: Option<&str>,
+    #[case] expected: Option<&str>,
 ) {
     let set = set_of(&three_zones(12), evacuated);
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let cell = Cell::for_request(&service(), &zone("kariakoo"), &set, &mut rng);
-    assert_eq!(cell.zone, wanted.map(zone));
+    assert_eq!(cell.zone, expected.map(zone));
 }
 
 /// Requests move to the remaining zones in proportion to their upstreams.
@@ -120,13 +120,13 @@
 }
 
 fn placed(effects: &[Effect]) -> Vec<String> {
-    let of = |effect: &Effect| match effect {
+    let upstream = |effect: &Effect| match effect {
         Effect::Send { message: PlacementMessage::Placed { placement, .. }, .. } => {
             Some(placement.upstream.to_string())
         }
         _ => None,
     };
-    effects.iter().filter_map(of).collect()
+    effects.iter().filter_map(upstream).collect()
 }
 
 #[test]
--- a/crates/dispatch/tests/leaving.rs
+++ b/crates/dispatch/tests/leaving.rs
@@ -55,12 +55,12 @@
 #[case::entry_expires(&[], None)]
 fn published_entries_do_not_revoke_it(
     #[case] entries: &[Entry<Arc<Upstream>>],
-    #[case] wanted: Option<Eligibility>,
+    #[case] expected: Option<Eligibility>,
 ) {
     let mut set = set(&[entry("i-1", "kariakoo")]);
     set.record_backpressure(NOW, (&id("i-1"), RUN), ResponseKind::Served, LEAVES);
     sync(&mut set, entries);
-    assert_eq!(eligibility(&set), wanted);
+    assert_eq!(eligibility(&set), expected);
     set.forget_backpressure(NOW + Millis(30_000));
     sync(&mut set, &[entry("i-1", "kariakoo")]);
     assert_eq!(eligibility(&set), Some(Eligibility::SaysLeaving));
@@ -101,9 +101,9 @@
 const SPREAD_MS: u64 = 500;
 
 #[rstest]
-#[case::calm(Fault::Nothing)]
+#[case::no_fault(Fault::Nothing)]
 #[case::lossy(Fault::Lossy)]
-#[case::nobody_schedules(Fault::NoScheduler)]
+#[case::no_scheduler(Fault::NoScheduler)]
 #[case::schedulers_are_killed(Fault::SchedulersKilled { each_ms: 300 })]
 fn a_fleet_sends_nothing_new_to_a_leaving_upstream(
     #[case] fault: Fault,
@@ -122,15 +122,17 @@
             seed,
         };
         let received = Simulation::run_with_sources(&scenario);
-        let late = received.values().filter_map(|of| {
-            let first_ms = of.stated_ms.values().min()?;
+        let late = received.values().filter_map(|at_upstream| {
+            let first_ms = at_upstream.stated_ms.values().min()?;
             // With a fifth of all messages lost, only hosts that received the announcement
             // themselves are sure to know it.
             let is_late = |(at_ms, host): &&(u64, usize)| match fault {
-                Fault::Lossy => of.stated_ms.get(host).is_some_and(|known_ms| at_ms > known_ms),
+                Fault::Lossy => {
+                    at_upstream.stated_ms.get(host).is_some_and(|known_ms| at_ms > known_ms)
+                }
                 _ => *at_ms > first_ms + SPREAD_MS,
             };
-            Some(of.arrivals.iter().filter(is_late).count())
+            Some(at_upstream.arrivals.iter().filter(is_late).count())
         });
         let late: Vec<usize> = late.collect();
         assert!(!late.is_empty(), "no upstream was leaving");
--- a/crates/dispatch/tests/rate_limit.rs
+++ b/crates/dispatch/tests/rate_limit.rs
@@ -42,13 +42,13 @@
 #[case::zero_is_raised_to_the_minimum(&[Stated(SERVED, Some(0.0))], Some(0.25))]
 fn a_limit_holds_until_a_served_request_omits_it(
     #[case] responses: &[Stated],
-    #[case] wanted: Option<f64>,
+    #[case] expected: Option<f64>,
 ) {
     let mut set = set(&[entry("i-1", "kariakoo")]);
     for (after_ms, Stated(kind, rate)) in (0..).zip(responses) {
         set.record_backpressure(NOW + Millis(after_ms), (&id("i-1"), RUN), *kind, stating(*rate));
     }
-    assert_eq!(limit(&set), wanted);
+    assert_eq!(limit(&set), expected);
 }
 
 #[test]
@@ -100,7 +100,7 @@
 #[case::duplicated(&[(500, Some(2.0)), (500, Some(2.0))], Some(2.0))]
 fn the_latest_statement_holds(
     #[case] ages_and_rates: &[(u64, Option<f64>)],
-    #[case] wanted: Option<f64>,
+    #[case] expected: Option<f64>,
 ) {
     let mut receiver = set(&[entry("i-1", "kariakoo")]);
     for &(age_ms, rate) in ages_and_rates {
@@ -112,7 +112,7 @@
         assert_eq!(updates.len(), 1);
         receiver.merge_backpressure(NOW, updates);
     }
-    assert_eq!(limit(&receiver), wanted);
+    assert_eq!(limit(&receiver), expected);
     assert!(!receiver.backpressure().has_pending(), "a receiver broadcasts nothing");
 }
 
--- a/crates/dispatch/tests/rate_limit_fleet.rs
+++ b/crates/dispatch/tests/rate_limit_fleet.rs
@@ -44,32 +44,35 @@
     from_ms: u64,
     ends_from_ms: u64,
 ) -> usize {
-    let within = |of: &Received, end_ms: u64| {
+    let within = |at_upstream: &Received, end_ms: u64| {
         let start_ms = (end_ms + 1).saturating_sub(WINDOW_MS).max(from_ms);
         let is_known = |host: &usize| {
-            of.stated_ms.get(host).is_some_and(|&known_ms| known_ms + COUNTED_AFTER_MS <= end_ms)
+            at_upstream
+                .stated_ms
+                .get(host)
+                .is_some_and(|&known_ms| known_ms + COUNTED_AFTER_MS <= end_ms)
         };
         let counts =
             |(at_ms, host): &&(u64, usize)| (start_ms..=end_ms).contains(at_ms) && is_known(host);
-        of.arrivals.iter().filter(counts).count()
+        at_upstream.arrivals.iter().filter(counts).count()
     };
-    let most = |of: &Received| {
-        let ends = of.arrivals.iter().filter(|(end_ms, _)| *end_ms >= ends_from_ms);
-        ends.map(|&(end_ms, _)| within(of, end_ms)).max()
+    let most = |at_upstream: &Received| {
+        let ends = at_upstream.arrivals.iter().filter(|(end_ms, _)| *end_ms >= ends_from_ms);
+        ends.map(|&(end_ms, _)| within(at_upstream, end_ms)).max()
     };
     received.values().filter_map(most).max().unwrap_or_default()
 }
 
 fn count_from(received: &FastMap<UpstreamId, Received>, from_ms: u64) -> usize {
-    let arrivals = received.values().flat_map(|of| &of.arrivals);
+    let arrivals = received.values().flat_map(|at_upstream| &at_upstream.arrivals);
     arrivals.filter(|(at_ms, _)| *at_ms >= from_ms).count()
 }
 
 #[rstest]
-#[case::calm(Fault::Nothing)]
+#[case::no_fault(Fault::Nothing)]
 #[case::lossy(Fault::Lossy)]
 #[case::a_third_is_cut_off(Fault::CutOff { every: 3 })]
-#[case::nobody_schedules(Fault::NoScheduler)]
+#[case::no_scheduler(Fault::NoScheduler)]
 #[case::split(Fault::Split)]
 #[case::schedulers_are_killed(Fault::SchedulersKilled { each_ms: 300 })]
 fn no_upstream_receives_more_than_its_limit(
@@ -113,7 +116,7 @@
 #[rstest]
 #[case::three_times(Fault::Nothing, 3.0)]
 #[case::five_times(Fault::Nothing, 5.0)]
-#[case::nobody_schedules(Fault::NoScheduler, 3.0)]
+#[case::no_scheduler(Fault::NoScheduler, 3.0)]
 fn requests_before_a_limit_are_deducted(
     #[case] fault: Fault,
     #[case] times_the_limit: f64,
@@ -142,8 +145,8 @@
     for seed in 0..3 {
         let mut received =
             Simulation::run_with_sources(&scenario(hosts, Fault::CutOff { every: 1 }, seed));
-        for of in received.values_mut() {
-            let Received { arrivals, stated_ms } = of;
+        for at_upstream in received.values_mut() {
+            let Received { arrivals, stated_ms } = at_upstream;
             let knew = |at_ms: u64, host: &usize| stated_ms.get(host).is_some_and(|&ms| ms < at_ms);
             arrivals.retain(|(at_ms, host)| knew(*at_ms, host));
         }
