--- a/crates/dispatch/tests/choice.rs
+++ b/crates/dispatch/tests/choice.rs
@@ -12,12 +12,12 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
-use support::{entry, entry_in, id, known, report, set};
+use support::{entry, entry_in, id, report, set, upstream_state};
 
 const NOW: Millis = Millis(10_000);
 
 fn reported(running: u32, waiting: u32, slowness_percent: u32, age_ms: u64) -> UpstreamState {
-    let mut state = known("i-1");
+    let mut state = upstream_state("i-1");
     state.record_report(NOW - Millis(age_ms), report(running, waiting, slowness_percent));
     state
 }
@@ -46,8 +46,8 @@
 #[case::busy_before_full(reported(5, 0, 100, 0), reported(6, 3, 100, 0))]
 #[case::normal_before_slow(reported(3, 0, 100, 0), reported(0, 0, 700, 0))]
 #[case::full_before_very_slow(reported(6, 1, 100, 0), reported(0, 0, 700, 0))]
-#[case::fresh_good_before_unknown(reported(2, 0, 100, 0), known("i-1"))]
-#[case::unknown_before_fresh_slow(known("i-1"), reported(0, 0, 700, 0))]
+#[case::fresh_good_before_unknown(reported(2, 0, 100, 0), upstream_state("i-1"))]
+#[case::unknown_before_fresh_slow(upstream_state("i-1"), reported(0, 0, 700, 0))]
 #[case::fresh_fair_before_old_slow(reported(1, 0, 150, 0), reported(0, 0, 700, 500))]
 #[case::healthy_before_failing(reported(4, 0, 100, 0), failing(3))]
 fn lower_cost_is_preferred(#[case] better: UpstreamState, #[case] worse: UpstreamState) {
@@ -69,8 +69,8 @@
     reported(6, 6, 300, 0),
     reported(6, 8, 300, 900)
 )]
-#[case::all_full_nothing_known(service(6, 8, 300), reported(6, 4, 300, 0), known("i-1"))]
-#[case::all_idle_nothing_known(service(0, 0, 100), known("i-1"), reported(4, 0, 150, 0))]
+#[case::all_full_nothing_known(service(6, 8, 300), reported(6, 4, 300, 0), upstream_state("i-1"))]
+#[case::all_idle_nothing_known(service(0, 0, 100), upstream_state("i-1"), reported(4, 0, 150, 0))]
 #[case::all_idle_an_old_report_of_a_full_one(
     service(0, 0, 100),
     reported(6, 8, 300, 2_000),
@@ -175,7 +175,7 @@
 
 #[test]
 fn the_exclusion_grows_up_to_a_limit() {
-    let mut state = known("i-1");
+    let mut state = upstream_state("i-1");
     let mut exclusions_ms = Vec::new();
     for _ in 0..6 {
         state.record_probe_failure(NOW, ProbeFailure::TimedOut);
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -40,7 +40,7 @@
     Entry { revision: Revision(start_ms), value: Arc::new(value) }
 }
 
-pub fn known(name: &str) -> UpstreamState {
+pub fn upstream_state(name: &str) -> UpstreamState {
     UpstreamState::new(&entry(name, "kariakoo"), Millis::ZERO)
 }
 
