--- a/crates/published/src/reading.rs
+++ b/crates/published/src/reading.rs
@@ -4,7 +4,7 @@
 //! agree on which: the one with the greatest weight reads, a reader that sees updates of one with
 //! a greater weight stops, and a host whose state was not confirmed for [`MAX_AGE_MS`] reads for
 //! itself and broadcasts the result. So a reader that fails or is cut off is replaced after
-//! [`MAX_AGE_MS`] and the next host's turn, which leaves one of the two seconds within which changes
+//! [`MAX_AGE_MS`] and the next host's turn. That leaves one of the two seconds within which changes
 //! must be in force.
 
 mod start;
