--- a/crates/published/src/gossip/effect.rs
+++ b/crates/published/src/gossip/effect.rs
@@ -16,7 +16,7 @@
         /// Its recipients.
         to: Vec<SocketAddr>,
     },
-    /// Fetch what is missing, then call [`Gossip::finish_fetch`].
+    /// Fetch what is missing, then call [`Gossip::finish_fetch`](super::Gossip::finish_fetch).
     Fetch(Fetch),
     /// The published state changed or was confirmed.
     StateUpdated {
@@ -36,12 +36,12 @@
     },
     /// Hosts, or new runs of hosts, were seen for the first time.
     PeersDiscovered(Vec<HostId>),
-    /// Call [`Gossip::answer_pending_joins`] after this delay.
+    /// Call [`Gossip::answer_pending_joins`](super::Gossip::answer_pending_joins) after this delay.
     AnswerPendingJoins {
         /// The delay.
         delay_ms: Millis,
     },
-    /// Call [`Gossip::announce_joined`] after this delay.
+    /// Call [`Gossip::announce_joined`](super::Gossip::announce_joined) after this delay.
     AnnounceJoined {
         /// The delay.
         delay_ms: Millis,
--- a/crates/published/tests/evacuation.rs
+++ b/crates/published/tests/evacuation.rs
@@ -167,7 +167,7 @@
 /// Evacuations and their ends during faults: in the end all hosts have what is published, and each
 /// host that no fault has affected for three seconds has it in time.
 #[rstest]
-#[case::calm(&[])]
+#[case::no_faults(&[])]
 #[case::a_zone_is_cut_off(&[(Fault::ZoneCut { zone: 1 }, 9_000, 14_000)])]
 #[case::all_are_killed(&[(Fault::Killed { every: 1 }, 9_500, 10_800)])]
 #[case::the_source_is_silent(&[(Fault::SourceSilent { every: 1 }, 9_000, 13_000)])]
--- a/crates/published/tests/site.rs
+++ b/crates/published/tests/site.rs
@@ -66,7 +66,7 @@
 }
 
 #[rstest]
-#[case::calm(&[])]
+#[case::no_faults(&[])]
 #[case::the_source_is_silent(&[window(Fault::SourceSilent { every: 1 }, 10_000, 16_000)])]
 #[case::it_answers_half(&[window(Fault::SourceSilent { every: 2 }, 10_000, 18_000)])]
 #[case::a_zone_is_cut_off(&[window(Fault::ZoneCut { zone: 1 }, 10_000, 16_000)])]
@@ -92,7 +92,7 @@
 
 /// There are more upstreams than a join answer holds, so hosts have to fetch the others.
 #[rstest]
-#[case::calm(&[])]
+#[case::no_faults(&[])]
 #[case::a_third_is_killed(&[window(Fault::Killed { every: 3 }, 10_000, 11_500)])]
 #[case::all_are_killed(&[window(Fault::Killed { every: 1 }, 10_000, 11_300)])]
 #[case::all_are_killed_and_half_is_lost(&[
