--- a/crates/gateway/tests/codec.rs
+++ b/crates/gateway/tests/codec.rs
@@ -1,4 +1,4 @@
-//! What peers tell each other is read whole or not at all.
+//! Messages between hosts round-trip, are small, and are rejected if malformed.
 #![allow(clippy::unwrap_used)]
 
 use dispatch::quarantine::{Crash, Quarantine, QuarantineMessage};
@@ -20,32 +20,32 @@
 }
 
 #[test]
-fn what_was_written_is_read() {
+fn messages_round_trip() {
     assert_eq!(decode::<Message>(&encode(&hello()).unwrap()), Ok(hello()));
-    let held = KnownRevisions { revision: Revision(12), routing: Some(Revision(3)) };
-    assert_eq!(decode::<KnownRevisions>(&encode(&held).unwrap()), Ok(held));
+    let known = KnownRevisions { revision: Revision(12), routing: Some(Revision(3)) };
+    assert_eq!(decode::<KnownRevisions>(&encode(&known).unwrap()), Ok(known));
 }
 
 #[rstest]
 #[case::older(0)]
 #[case::newer(200)]
-fn another_protocol_is_refused_by_its_version(#[case] version: u8) {
+fn other_protocol_versions_are_rejected(#[case] version: u8) {
     let mut bytes = encode(&hello()).unwrap();
     bytes[0] = version;
     assert_eq!(decode::<Message>(&bytes), Err(CodecError::OtherProtocol(version)));
 }
 
 #[test]
-fn what_is_cut_short_is_refused() {
+fn truncated_messages_are_rejected() {
     let bytes = encode(&hello()).unwrap();
     for length in 0..bytes.len() {
-        let read = decode::<Message>(&bytes[..length]);
-        assert!(matches!(read, Err(CodecError::Malformed(_))), "{length}: {read:?}");
+        let decoded = decode::<Message>(&bytes[..length]);
+        assert!(matches!(decoded, Err(CodecError::Malformed(_))), "{length}: {decoded:?}");
     }
 }
 
 #[test]
-fn a_submission_is_small_and_read_as_it_was_written() {
+fn submissions_are_small_and_round_trip() {
     let submission = Submission {
         ticket: Ticket(9_000_000),
         cell: Cell { service: "parts".parse().unwrap(), zone: None },
@@ -61,13 +61,13 @@
     let datagram = Datagram::Placement(PlacementMessage::Submit(submission));
     let bytes = encode(&datagram).unwrap();
     assert_eq!(decode::<Datagram>(&bytes), Ok(datagram));
-    // Bytes between availability zones are paid for with each request.
+    // Each request may send one to another availability zone, and that traffic is paid for.
     assert!(bytes.len() < 40, "{}", bytes.len());
 }
 
-/// What is told of a request that crashed three upstreams is one small datagram.
+/// The update about a request that crashed three upstreams is one small datagram.
 #[test]
-fn a_suspect_is_told_in_few_bytes() {
+fn suspect_updates_are_small() {
     let mut quarantine = Quarantine::default();
     for number in 1..=3 {
         let crash = Crash {
@@ -80,9 +80,9 @@
         quarantine.record_crash(RequestFingerprint(u128::MAX / 3), crash);
     }
     let suspects = quarantine.take_pending(Millis(4_000)).unwrap();
-    let told = QuarantineMessage::Suspects { suspects, should_relay: true };
-    let bytes = encode(&Datagram::Quarantine(told.clone())).unwrap();
+    let update = QuarantineMessage::Suspects { suspects, should_relay: true };
+    let bytes = encode(&Datagram::Quarantine(update.clone())).unwrap();
     println!("{} bytes", bytes.len());
     assert!(bytes.len() < 200, "{}", bytes.len());
-    assert_eq!(decode::<Datagram>(&bytes), Ok(Datagram::Quarantine(told)));
+    assert_eq!(decode::<Datagram>(&bytes), Ok(Datagram::Quarantine(update)));
 }
--- a/crates/gateway/tests/logs.rs
+++ b/crates/gateway/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Logs never block, and say what they dropped.
+//! Logging never blocks, and counts the lines that it drops.
 #![allow(clippy::unwrap_used)]
 
 use dispatch::attempts::{Cause, Refusal};
@@ -9,8 +9,8 @@
 use std::os::fd::OwnedFd;
 use std::time::{Duration, Instant};
 
-fn sent(id: &str) -> LogEvent<'_> {
-    LogEvent::AcceptFailed { problem: id.to_owned() }
+fn accept_failed(problem: &str) -> LogEvent<'_> {
+    LogEvent::AcceptFailed { problem: problem.to_owned() }
 }
 
 fn refused(id: &str) -> LogEvent<'_> {
@@ -35,7 +35,7 @@
     }
 }
 
-/// A pipe whose reader reads nothing by itself.
+/// A pipe that is read only by [`drain`].
 fn pipe() -> (File, Out) {
     let (reader, writer) = std::io::pipe().unwrap();
     let writer = File::from(OwnedFd::from(writer));
@@ -44,11 +44,11 @@
 }
 
 #[test]
-fn a_stalled_reader_holds_nothing_up_and_routine_lines_go_first() {
+fn a_stalled_reader_blocks_nothing_and_routine_lines_are_dropped_first() {
     let (reader, out) = pipe();
     let log = EventLog::new("front-1".parse().unwrap(), Some(out));
     let service = "parts".parse().unwrap();
-    let begun = Instant::now();
+    let start = Instant::now();
     for _ in 0..20_000 {
         log.write(&routine(&service));
         log.flush();
@@ -56,12 +56,12 @@
     let routine_dropped = log.dropped();
     assert!(routine_dropped > 0);
     log.write(&refused("id-told"));
-    assert_eq!(log.dropped(), routine_dropped, "a refusal is told while there is room");
-    assert!(begun.elapsed() < Duration::from_secs(20));
+    assert_eq!(log.dropped(), routine_dropped, "a refusal is logged while there is room");
+    assert!(start.elapsed() < Duration::from_secs(20));
 
     let text = drain(&log, reader);
-    let told = text.lines().find(|line| line.contains("id-told")).unwrap();
-    assert!(told.contains(&format!("\"dropped_routine\":{routine_dropped}")), "{told}");
+    let logged = text.lines().find(|line| line.contains("id-told")).unwrap();
+    assert!(logged.contains(&format!("\"dropped_routine\":{routine_dropped}")), "{logged}");
     for line in text.lines() {
         serde_json::from_str::<serde_json::Value>(line).unwrap();
     }
@@ -75,13 +75,13 @@
     }
     assert!(log.dropped() > 0);
     assert!(log.take_buffered().len() < 300 * 1024);
-    log.write(&sent("after"));
+    log.write(&accept_failed("after"));
     let line: serde_json::Value = serde_json::from_str(&log.take_buffered()).unwrap();
     assert_eq!(line["dropped_telling"].as_u64().unwrap(), log.dropped());
 }
 
 #[test]
-fn a_line_names_host_time_event_and_cause() {
+fn a_line_has_host_time_event_and_cause() {
     let log = EventLog::new("front-1".parse().unwrap(), None);
     log.write(&refused("id-1"));
     let line: serde_json::Value = serde_json::from_str(&log.take_buffered()).unwrap();
