--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -1,13 +1,7 @@
-//! An upstream accepts so many connections from all hosts together, and resets the rest.
+//! The idle connections of all hosts leave room below an upstream's connection limit.
 //!
-//! What happens: hosts take turns with a few requests at once, far fewer than the upstream works on. The
-//! last of them is reset, as the idle connections that the others keep fill the upstream; a request
-//! that must not run twice is then refused.
-//!
-//! The cause: each host keeps the same number of idle connections, however many the service's
-//! settings let all of them have.
-//!
-//! The evidence: the connections that are open while nothing is asked, and the resets.
+//! Otherwise the upstream resets the connections of a host that starts to send, and its requests
+//! that must not run twice fail.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -19,28 +13,30 @@
 use support::{caller_address, fleet, on_one_thread, published, routing};
 
 const HOSTS: usize = 3;
-const ACCEPTED: u32 = 12;
 
-/// Requests of a host at once; the upstream has six slots.
-const AT_ONCE: usize = 5;
+/// Connections that the upstream accepts from all hosts together.
+const MAX_CONNECTIONS: u32 = 12;
+
+/// Concurrent requests of one host; the upstream has six slots.
+const CONCURRENT_REQUESTS: usize = 5;
 
-/// Time in which a host closes what it doesn't keep.
-const QUIET: Duration = Duration::from_secs(1);
+/// Time in which a host closes surplus idle connections.
+const IDLE_TIME: Duration = Duration::from_secs(1);
 
 #[test]
-fn what_a_fleet_keeps_leaves_room_for_what_it_sends() {
+fn idle_connections_leave_room_for_requests() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         upstream.set_work_ms(30);
-        upstream.set_max_connections(ACCEPTED);
+        upstream.set_max_connections(MAX_CONNECTIONS);
         let published = published(&[&upstream]);
         let mut routing = routing(2);
-        routing.services[0].max_connections = Connections(ACCEPTED);
+        routing.services[0].max_connections = Connections(MAX_CONNECTIONS);
         published.write_routing(routing);
         let hosts = fleet(HOSTS, &published).await;
         for (number, host) in hosts.iter().enumerate() {
             let address = caller_address(host);
-            let calls: Vec<_> = (0..AT_ONCE)
+            let calls: Vec<_> = (0..CONCURRENT_REQUESTS)
                 .map(|call| {
                     let text = post("/once/x", &format!("{number}-{call}"), "a");
                     tokio::task::spawn_local(async move {
@@ -51,10 +47,10 @@
             for call in calls {
                 assert_eq!(call.await.unwrap(), 200, "host {number}");
             }
-            tokio::time::sleep(QUIET).await;
+            tokio::time::sleep(IDLE_TIME).await;
             println!("after host {number}: {} open, {} reset", upstream.open(), upstream.resets());
         }
         assert_eq!(upstream.resets(), 0);
-        assert!(upstream.open() <= ACCEPTED / 2, "{} are kept", upstream.open());
+        assert!(upstream.open() <= MAX_CONNECTIONS / 2, "{} are kept open", upstream.open());
     });
 }
--- a/crates/gateway/tests/evacuation.rs
+++ b/crates/gateway/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! A zone is evacuated while callers send requests: none is lost, and none arrives there.
+//! While a zone is evacuated, no request is lost, and none is sent to the zone.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -13,8 +13,8 @@
 
 const ZONE: &str = "kariakoo";
 
-/// In force at a host in touch within this time of the source's word.
-const IN_FORCE_MS: Millis = Millis(300);
+/// Longest time between the publication of an evacuation and its taking effect.
+const MAX_DELAY_MS: Millis = Millis(300);
 
 fn evacuate(published: &Published) {
     published.write("op/evacuate", Item::Evacuation(ZONE.parse().unwrap()));
@@ -31,10 +31,10 @@
 #[test]
 fn requests_move_to_the_other_zone_and_come_back() {
     on_one_thread(async {
-        let (near, far) =
+        let (local, remote) =
             (StandInUpstream::start("i-1").await, StandInUpstream::start("i-2").await);
-        let (gateway, published) = ready(&[&near]).await;
-        published.write("servers", in_zone(&far, "temeke"));
+        let (gateway, published) = ready(&[&local]).await;
+        published.write("servers", in_zone(&remote, "temeke"));
         wait_until("both are known", || gateway.host().published_state().upstreams().count() == 2)
             .await;
         let mut caller = Caller::connect(caller_address(&gateway)).await;
@@ -44,34 +44,34 @@
                 200
             );
         }
-        assert_eq!(near.requests().len(), 5);
-        let begun_ms = gateway.host().now_ms();
+        assert_eq!(local.requests().len(), 5);
+        let start_ms = gateway.host().now_ms();
         evacuate(&published);
         let is_in_force =
             || gateway.host().published_state().evacuations().contains(&ZONE.parse().unwrap());
         wait_until("it is in force", is_in_force).await;
-        assert!(gateway.host().now_ms().since(begun_ms) <= IN_FORCE_MS);
+        assert!(gateway.host().now_ms().since(start_ms) <= MAX_DELAY_MS);
         for number in 0..5 {
             assert_eq!(
                 caller.exchange(&post("/once/x", &format!("b-{number}"), "{}")).await.status,
                 200
             );
         }
-        assert_eq!((near.requests().len(), far.requests().len()), (5, 5));
+        assert_eq!((local.requests().len(), remote.requests().len()), (5, 5));
         published.end_evacuation(&ZONE.parse().unwrap());
-        wait_until("it is taken back", || !is_in_force()).await;
+        wait_until("it has ended", || !is_in_force()).await;
         for number in 0..5 {
             assert_eq!(
                 caller.exchange(&post("/once/x", &format!("c-{number}"), "{}")).await.status,
                 200
             );
         }
-        assert_eq!((near.requests().len(), far.requests().len()), (10, 5));
+        assert_eq!((local.requests().len(), remote.requests().len()), (10, 5));
     });
 }
 
 #[test]
-fn what_runs_there_ends_there() {
+fn running_requests_complete_in_an_evacuated_zone() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, published) = ready(&[&upstream]).await;
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn where_every_zone_is_evacuated_callers_are_told_at_once_and_truly() {
+fn requests_are_refused_at_once_if_every_zone_is_evacuated() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, published) = ready(&[&upstream]).await;
@@ -96,16 +96,16 @@
             gateway.host().published_state().evacuations().contains(&zone)
         })
         .await;
-        let begun_ms = gateway.host().now_ms();
+        let start_ms = gateway.host().now_ms();
         let mut caller = Caller::connect(caller_address(&gateway)).await;
         let got = caller.exchange(&get("/any/x", "id-1")).await;
         assert_eq!(got.status, 503);
         assert_eq!(got.cause, "zones-evacuated");
         assert!(got.retry_after.is_some());
-        assert!(gateway.host().now_ms().since(begun_ms) < Millis(100));
+        assert!(gateway.host().now_ms().since(start_ms) < Millis(100));
         assert!(upstream.requests().is_empty());
         published.end_evacuation(&zone);
-        wait_until("it is taken back", || {
+        wait_until("it has ended", || {
             !gateway.host().published_state().evacuations().contains(&zone)
         })
         .await;
