--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Several hosts and a source that fails: what one reads all believe, and nothing is lost.
+//! Several hosts share one source: what one host reads reaches all, also while the source fails.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -21,12 +21,12 @@
     table.as_ref().map(|table| table.routing().version)
 }
 
-fn count(gateway: &Gateway) -> usize {
+fn eligible_upstreams(gateway: &Gateway) -> usize {
     gateway.host().upstreams.borrow().count_eligible(&service())
 }
 
 #[test]
-fn a_change_reaches_all_though_one_reads() {
+fn a_change_that_one_host_reads_reaches_all() {
     on_one_thread(async {
         let published = published(&[]);
         let hosts = fleet(5, &published).await;
@@ -40,7 +40,7 @@
     });
 }
 
-/// Hosts of two availability zones; the first is the seed.
+/// Starts hosts in two availability zones; the first is the seed.
 async fn fleet_of_two_zones(sizes: [(&str, usize); 2], published: &Published) -> Vec<Gateway> {
     let mut hosts = Vec::new();
     let mut seeds = Vec::new();
@@ -62,8 +62,8 @@
 #[rstest]
 #[case::small(2)]
 #[case::larger_than_a_datagram(500)]
-#[case::large_enough_to_be_told_to_few_at_once(4_000)]
-fn a_change_reaches_another_zone_through_a_few_of_its_hosts(#[case] routes: usize) {
+#[case::large_enough_to_limit_concurrent_replies(4_000)]
+fn a_change_reaches_all_hosts_of_another_zone(#[case] routes: usize) {
     on_one_thread(async move {
         let published = published(&[]);
         let hosts = fleet_of_two_zones([("kariakoo", 4), ("temeke", 5)], &published).await;
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_large_change_reaches_all_too() {
+fn a_large_change_reaches_all_hosts() {
     on_one_thread(async {
         let published = published(&[]);
         let hosts = fleet(3, &published).await;
@@ -99,19 +99,20 @@
 }
 
 #[test]
-fn upstreams_that_join_and_go_are_known_everywhere() {
+fn all_hosts_know_of_joined_and_removed_upstreams() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let published = published(&[&upstream]);
         let hosts = fleet(3, &published).await;
-        wait_until("all know it", || hosts.iter().all(|h| count(h) == 1)).await;
+        wait_until("all know it", || hosts.iter().all(|h| eligible_upstreams(h) == 1)).await;
         published.remove(&"i-1".parse().unwrap());
-        wait_until("all know that it is gone", || hosts.iter().all(|h| count(h) == 0)).await;
+        wait_until("all know that it is gone", || hosts.iter().all(|h| eligible_upstreams(h) == 0))
+            .await;
     });
 }
 
 #[test]
-fn lost_history_is_read_anew() {
+fn everything_is_read_again_once_the_history_is_gone() {
     on_one_thread(async {
         let published = published(&[]);
         let hosts = fleet(2, &published).await;
@@ -122,12 +123,12 @@
 }
 
 #[test]
-fn a_source_that_is_down_stops_nothing_and_is_heard_of_when_it_is_back() {
+fn requests_are_served_while_the_source_is_down_and_updates_resume_after() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let published = published(&[&upstream]);
         let hosts = fleet(2, &published).await;
-        wait_until("both are ready", || hosts.iter().all(|h| count(h) == 1)).await;
+        wait_until("both are ready", || hosts.iter().all(|h| eligible_upstreams(h) == 1)).await;
         published.fail(Some(SourceError::Refused { status: 503 }));
         tokio::time::sleep(Duration::from_millis(1_500)).await;
         for host in &hosts {
@@ -145,7 +146,7 @@
 }
 
 #[test]
-fn without_a_first_routing_it_is_not_ready_and_says_when_to_come_back() {
+fn without_a_routing_it_is_not_ready_and_sends_retry_after() {
     on_one_thread(async {
         let published = Published::default();
         published.fail(Some(SourceError::Unreachable("cut".to_owned())));
@@ -162,7 +163,7 @@
 }
 
 #[test]
-fn a_request_waits_for_a_routing_that_is_on_its_way() {
+fn a_request_waits_for_the_first_routing() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let published = published(&[&upstream]);
@@ -181,16 +182,16 @@
         let upstream = StandInUpstream::start("i-1").await;
         let published = published(&[&upstream]);
         let hosts = fleet(2, &published).await;
-        wait_until("both are ready", || hosts.iter().all(|h| count(h) == 1)).await;
+        wait_until("both are ready", || hosts.iter().all(|h| eligible_upstreams(h) == 1)).await;
         let (leaving, staying) = (&hosts[0], &hosts[1]);
         upstream.add_to_script([support::upstream::Behaviour::Slow(2_800)]);
         let mut slow = Caller::connect(caller_address(leaving)).await;
         let mut kept = Caller::connect(caller_address(leaving)).await;
-        // Longer than the route allows, if it did not stop: the answer counts, not the time.
+        // It may take longer than the route's timeout: what counts is that there is a response.
         slow.send(&get("/any/x", "id-slow")).await;
         wait_until("it arrived", || upstream.requests().len() == 1).await;
         let stopping = leaving.stop();
-        let asking = async {
+        let requests = async {
             wait_until("it is stopping", || leaving.host().is_stopping()).await;
             assert!(!leaving.host().is_ready());
             let got = kept.exchange(&get("/any/y", "id-kept")).await;
@@ -203,14 +204,14 @@
             let got = slow.receive().await.expect("cut");
             assert!(matches!(got.status, 200 | 504), "{got:?}");
         };
-        tokio::join!(stopping, asking);
+        tokio::join!(stopping, requests);
         assert_eq!(leaving.host().open_caller_connections.get(), 0);
         wait_until("the other knows", || staying.host().host_count() == 1).await;
     });
 }
 
 #[test]
-fn two_views_of_the_fleet_count_the_same_hosts() {
+fn all_hosts_know_the_same_members() {
     on_one_thread(async {
         let published = published(&[]);
         let hosts = fleet(4, &published).await;
@@ -222,7 +223,7 @@
 }
 
 #[test]
-fn an_address_for_metrics_that_is_taken_stops_nothing() {
+fn a_metrics_address_in_use_does_not_prevent_the_start() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let published = published(&[&upstream]);
