--- a/crates/gateway/tests/docs.rs
+++ b/crates/gateway/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The operators' page names every metric and every cause with its status.
+//! The operators' page lists all metrics, and all causes of refusals with their status.
 #![allow(clippy::unwrap_used)]
 
 use dispatch::attempts::Cause;
@@ -24,7 +24,7 @@
     metrics.caller_hung_up();
     metrics.upstream_broke_off(true);
     let state_age = Some(Duration::ZERO);
-    let figures = StateFigures {
+    let values = StateFigures {
         source_calls: 1,
         log_lines_dropped: 0,
         open_requests: 0,
@@ -37,7 +37,7 @@
         unread_headers: 0,
         state_age,
     };
-    metrics.record_state(&figures);
+    metrics.record_state(&values);
     let (page, text) = (page(), metrics.render());
     let types = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
     let names: Vec<&str> = types.filter_map(|line| line.split(' ').next()).collect();
