--- a/crates/dispatch/tests/restart.rs
+++ b/crates/dispatch/tests/restart.rs
@@ -1,4 +1,4 @@
-//! What is known of an upstream ends with its run.
+//! The state of an upstream ends with its run.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -18,34 +18,34 @@
 const LATER: RunStart = RunStart(Some(Millis(200)));
 const NOW: Millis = Millis(10_000);
 
-/// An upstream of which all kinds of things are known, and which then started again.
+/// An upstream with state of all kinds that has restarted.
 fn restarted() -> UpstreamSet {
     let mut set = set(&[of_run("i-1", 100)]);
     set.record_report(NOW, (&id("i-1"), FORMER), report(5, 2, 400));
-    let known = set.get_mut(&id("i-1")).unwrap();
-    known.record_sent(NOW);
-    known.record_sent(NOW);
-    known.record_ended(NOW, Some(AttemptFailure::Disconnected));
-    known.record_probe_failure(NOW, ProbeFailure::Unreachable);
+    let state = set.get_mut(&id("i-1")).unwrap();
+    state.record_sent(NOW);
+    state.record_sent(NOW);
+    state.record_ended(NOW, Some(AttemptFailure::Disconnected));
+    state.record_probe_failure(NOW, ProbeFailure::Unreachable);
     set.sync(NOW, [of_run("i-1", 200)].iter(), &Evacuations::default());
     set
 }
 
 #[test]
-fn nothing_is_kept_of_the_former_run() {
+fn state_of_the_former_run_is_dropped() {
     let set = restarted();
-    let known = set.get(&id("i-1")).unwrap();
-    assert_eq!(known.in_flight(), 0);
-    assert!(known.report(NOW).is_none());
-    assert!(!known.is_excluded(NOW));
-    assert_eq!(known.failure_rate(NOW), 0.0);
+    let state = set.get(&id("i-1")).unwrap();
+    assert_eq!(state.in_flight(), 0);
+    assert!(state.report(NOW).is_none());
+    assert!(!state.is_excluded(NOW));
+    assert_eq!(state.failure_rate(NOW), 0.0);
     assert!(set.has_restarted(&id("i-1"), FORMER));
     assert!(!set.has_restarted(&id("i-1"), LATER));
     assert!(!set.has_restarted(&id("i-1"), RunStart::default()));
 }
 
 #[test]
-fn what_was_begun_with_the_former_run_says_nothing_of_the_next() {
+fn results_from_the_former_run_do_not_affect_the_next() {
     let mut set = restarted();
     set.get_mut(&id("i-1")).unwrap().record_sent(NOW);
     assert!(set.get_run_mut(&id("i-1"), FORMER).is_none());
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn entries_without_a_start_are_of_one_run() {
+fn entries_without_a_run_start_count_as_the_same_run() {
     let mut set = set(&[of_run("i-1", 100)]);
     set.get_mut(&id("i-1")).unwrap().record_sent(NOW);
     set.sync(NOW, [support::entry("i-1", "kariakoo")].iter(), &Evacuations::default());
@@ -63,20 +63,20 @@
 }
 
 #[test]
-fn a_request_that_ends_at_the_former_run_leaves_the_slots_of_the_next_alone() {
+fn a_request_that_ends_at_the_former_run_frees_no_slot_of_the_next() {
     let mut upstreams = set(&[of_run("i-1", 100)]);
     let mut schedulers = SchedulerSet::new("front-1".parse().unwrap());
     let mut rng = Pcg64Mcg::seed_from_u64(7);
     let requester = Requester::Peer("127.0.0.1:7000".parse().unwrap());
-    let mut take = |upstreams: &mut UpstreamSet, message| {
+    let mut handle = |upstreams: &mut UpstreamSet, message| {
         schedulers.handle_message(NOW, message, requester, upstreams, &mut rng)
     };
     upstreams.record_report(NOW, (&id("i-1"), FORMER), report(0, 0, 100));
-    take(&mut upstreams, submit(1));
+    handle(&mut upstreams, submit(1));
     assert_eq!(upstreams.get(&id("i-1")).unwrap().in_flight(), 1);
     upstreams.sync(NOW, [of_run("i-1", 200)].iter(), &Evacuations::default());
     upstreams.record_report(NOW, (&id("i-1"), LATER), report(0, 0, 100));
-    take(&mut upstreams, submit(2));
+    handle(&mut upstreams, submit(2));
     assert_eq!(upstreams.get(&id("i-1")).unwrap().in_flight(), 1);
     let outcome = Outcome {
         failure: Some(AttemptFailure::Disconnected),
@@ -84,12 +84,12 @@
         report: Some(report(6, 9, 700)),
         backpressure: Backpressure::default(),
     };
-    let effects = take(&mut upstreams, PlacementMessage::Ended { ticket: Ticket(1), outcome });
+    let effects = handle(&mut upstreams, PlacementMessage::Ended { ticket: Ticket(1), outcome });
     assert!(effects.iter().all(|effect| !matches!(effect, Effect::Probe(_))), "{effects:?}");
-    let known = upstreams.get(&id("i-1")).unwrap();
-    assert_eq!((known.in_flight(), known.failure_rate(NOW)), (1, 0.0));
-    assert_eq!(known.report(NOW).unwrap().0.running, 0);
-    take(
+    let state = upstreams.get(&id("i-1")).unwrap();
+    assert_eq!((state.in_flight(), state.failure_rate(NOW)), (1, 0.0));
+    assert_eq!(state.report(NOW).unwrap().0.running, 0);
+    handle(
         &mut upstreams,
         PlacementMessage::Withdrawn { ticket: Ticket(2), withdrawal: Withdrawal::Sent },
     );
