--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -29,7 +29,7 @@
 pub struct Metrics {
     registry: Registry,
     _provider: SdkMeterProvider,
-    answers: Counter<u64>,
+    responses: Counter<u64>,
     refusals: Counter<u64>,
     latency: Histogram<f64>,
     attempts: Counter<u64>,
@@ -75,7 +75,10 @@
             .with_description("Age of what is believed to be published")
             .build();
         Ok(Metrics {
-            answers: counter("gateway_answers", "Upstreams' answers passed on, by route and class"),
+            responses: counter(
+                "gateway_answers",
+                "Upstreams' answers passed on, by route and class",
+            ),
             refusals: counter("gateway_refusals", "Final answers of the host, by route and cause"),
             latency,
             attempts: counter("gateway_sendings", "Sendings to upstreams"),
@@ -130,7 +133,7 @@
         let class = KeyValue::new("class", i64::from(status / 100));
         let route = KeyValue::new("route", route.to_owned());
         self.latency.record(after.as_secs_f64(), std::slice::from_ref(&route));
-        self.answers.add(1, &[route, class]);
+        self.responses.add(1, &[route, class]);
     }
 
     /// Counts a request that the host refused.
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -33,7 +33,7 @@
     Operators,
 }
 
-/// State of the process, as `/state` shows it.
+/// State of the process, which `/state` shows under these field names.
 #[derive(Debug, Serialize)]
 struct StateDump {
     host: String,
@@ -200,15 +200,15 @@
     let published = host.published_state();
     let upstreams = host.upstreams.borrow();
     let dump_upstream = |entry: &Entry<Arc<Upstream>>| {
-        let known = upstreams.get(&entry.value.id)?;
+        let state = upstreams.get(&entry.value.id)?;
         Some(UpstreamDump {
             entry: entry.clone(),
-            open: known.in_flight(),
-            failure_share: known.failure_rate(now_ms),
-            slowness: known.slowness(now_ms, upstreams.load(&entry.value.service)),
-            is_avoided: known.is_excluded(now_ms),
-            eligibility: known.eligibility,
-            warmth: known.warmth(now_ms),
+            open: state.in_flight(),
+            failure_share: state.failure_rate(now_ms),
+            slowness: state.slowness(now_ms, upstreams.load(&entry.value.service)),
+            is_avoided: state.is_excluded(now_ms),
+            eligibility: state.eligibility,
+            warmth: state.warmth(now_ms),
             backs_off_ms: upstreams.remaining_backoff(now_ms, &entry.value.id),
             rate_limit: upstreams.fleet_rate(now_ms, &entry.value.id).map(|limit| RateLimitDump {
                 per_s: limit.rate,
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -186,7 +186,7 @@
         let (leaving, staying) = (&hosts[0], &hosts[1]);
         upstream.add_to_script([support::upstream::Behaviour::Slow(2_800)]);
         let mut slow = Caller::connect(caller_address(leaving)).await;
-        let mut kept = Caller::connect(caller_address(leaving)).await;
+        let mut idle = Caller::connect(caller_address(leaving)).await;
         // It may take longer than the route's timeout: what counts is that there is a response.
         slow.send(&get("/any/x", "id-slow")).await;
         wait_until("it arrived", || upstream.requests().len() == 1).await;
@@ -194,7 +194,7 @@
         let requests = async {
             wait_until("it is stopping", || leaving.host().is_stopping()).await;
             assert!(!leaving.host().is_ready());
-            let got = kept.exchange(&get("/any/y", "id-kept")).await;
+            let got = idle.exchange(&get("/any/y", "id-kept")).await;
             assert_eq!((got.status, got.closes), (200, true));
             let got = Caller::connect(caller_address(leaving))
                 .await
--- a/crates/gateway/tests/support/caller.rs
+++ b/crates/gateway/tests/support/caller.rs
@@ -55,18 +55,18 @@
 
     /// Returns the next response; none if the connection ends first.
     pub async fn receive(&mut self) -> Option<CallerResponse> {
-        tokio::time::timeout(WAIT_TIMEOUT, self.read()).await.expect("no answer")
+        tokio::time::timeout(WAIT_TIMEOUT, self.read()).await.expect("no response")
     }
 
     /// Sends a request and returns its response.
     pub async fn exchange(&mut self, text: &str) -> CallerResponse {
         self.send(text).await;
-        self.receive().await.expect("the connection ended without an answer")
+        self.receive().await.expect("the connection ended without a response")
     }
 
     async fn read(&mut self) -> Option<CallerResponse> {
         let head = loop {
-            match read_response(&mut self.buffer, true).expect("no answer in the protocol") {
+            match read_response(&mut self.buffer, true).expect("a malformed response") {
                 Some(head) => break head,
                 None => self.fill().await?,
             }
