--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -16,8 +16,8 @@
 /// Time between two checks for a suspension: the most by which it delays a timer.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Smallest difference that counts as a suspension: the two clocks are not read at the same
-/// instant, as a thread may be preempted in between.
+/// Differences up to this don't count as a suspension: the two clocks are read one after the
+/// other, and the thread may be preempted in between.
 const MIN_SUSPENSION: Duration = Duration::from_millis(50);
 
 /// Longest single sleep, so that a point that is never reached can't overflow a timer.
--- a/crates/gateway/src/event_log/event.rs
+++ b/crates/gateway/src/event_log/event.rs
@@ -71,8 +71,8 @@
     SourceLost { problem: String, picture_age_ms: Option<Millis> },
     /// This host starts or stops to read the source for the fleet.
     Reading { is_reading: bool, rank: usize, picture_age_ms: Option<Millis> },
-    /// The source is unavailable to the fleet: this host reads it again after a time that grows with
-    /// the fleet's size.
+    /// The source is unavailable to the fleet: this host reads it again after a time that grows
+    /// with the fleet's size.
     ReadingHeld { failed_readers: usize, for_ms: Millis, picture_age_ms: Option<Millis> },
     /// Peers were discovered, or have restarted.
     PeersHeard { count: usize, first: Option<&'a HostId>, hosts: u32 },
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -38,7 +38,7 @@
 /// Pause between two join messages while a seed has promised a snapshot, which may have been lost.
 const PROMISED_JOIN_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Pause between two hellos to single hosts, which repair lost messages.
+/// Pause between two hellos, each to one host, which make up for lost messages.
 const HELLO_INTERVAL: Duration = Duration::from_secs(3);
 
 /// The same while the fleet is still changing.
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -245,7 +245,7 @@
     host.log.flush();
 }
 
-/// Runs periodic maintenance: settings, expired entries, silent peers, idle connections.
+/// Runs periodic maintenance: settings, expired entries, unresponsive peers, idle connections.
 async fn maintain<R: Reload>(host: Rc<Host>, peers: Rc<Peers>, mut reload: R, mut hangup: Signal) {
     let mut round: u32 = 0;
     // A first record, so that a suspension right after the start is detected.
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -94,7 +94,7 @@
 }
 
 pub fn settings(seeds: &[SocketAddr]) -> Settings {
-    // The address depends on the test's process, so that tests that run in parallel don't interfere.
+    // The address depends on the process, so that tests that run in parallel don't interfere.
     let low = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
     let pid = std::process::id();
     let ip = std::net::Ipv4Addr::new(127, (pid >> 8) as u8, pid as u8, low);
