--- a/crates/gateway/tests/announced_leaving.rs
+++ b/crates/gateway/tests/announced_leaving.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 use support::caller::{Caller, get, post};
 use support::upstream::StandInUpstream;
-use support::{callers, fleet, on_one_thread, published, until};
+use support::{caller_address, fleet, on_one_thread, published, wait_until};
 
 /// After this time no request may arrive from any host.
 const GRACE: Duration = Duration::from_millis(500);
@@ -21,9 +21,9 @@
         let hosts = fleet(3, &published).await;
         let mut connected = Vec::new();
         for host in &hosts {
-            connected.push(Caller::connect(callers(host)).await);
+            connected.push(Caller::connect(caller_address(host)).await);
         }
-        leaving.says(&["x-upstream-leaving: 1"]);
+        leaving.set_extra_headers(&["x-upstream-leaving: 1"]);
         let begun = Instant::now();
         let mut number = 0;
         let mut announced = None;
@@ -34,7 +34,7 @@
                     0 => get("/any/x", &format!("id-{number}")),
                     _ => post("/once/x", &format!("id-{number}"), "{}"),
                 };
-                assert_eq!(caller.ask(&text).await.status, 200, "the other has capacity");
+                assert_eq!(caller.exchange(&text).await.status, 200, "the other has capacity");
             }
             if announced.is_none() && leaving.arrived(begun..Instant::now()) > 0 {
                 announced = Some(Instant::now());
@@ -44,7 +44,7 @@
         let announced = announced.expect("it was never used");
         let later = leaving.arrived(announced + GRACE..Instant::now());
         assert_eq!(later, 0, "{later} requests after it announced that it leaves");
-        until("its entry is still there", || {
+        wait_until("its entry is still there", || {
             hosts.iter().all(|host| host.host().published_state().upstreams().count() == 2)
         })
         .await;
--- a/crates/gateway/tests/crashing_requests.rs
+++ b/crates/gateway/tests/crashing_requests.rs
@@ -9,11 +9,12 @@
 use rstest::rstest;
 use std::net::Ipv4Addr;
 use std::time::Duration;
-use support::caller::{Caller, Got, get, post};
+use support::caller::{Caller, CallerResponse, get, post};
 use support::source::Published;
-use support::upstream::{Act, StandInUpstream};
+use support::upstream::{Behaviour, StandInUpstream};
 use support::{
-    callers, fleet, knows, on_one_thread, published, settings, start, until, upstream_item,
+    caller_address, fleet, knows, on_one_thread, published, settings, start, upstream_item,
+    wait_until,
 };
 use tokio::task::JoinHandle;
 
@@ -43,7 +44,7 @@
         }
         let published = published(&upstreams.iter().collect::<Vec<_>>());
         let hosts = fleet(3, &published).await;
-        until("all serve", || hosts.iter().all(|host| host.host().is_ready())).await;
+        wait_until("all serve", || hosts.iter().all(|host| host.host().is_ready())).await;
         Site { upstreams, published, hosts }
     }
 
@@ -53,7 +54,7 @@
 
     async fn until_all_know(&self, upstreams: usize) {
         let knows = |host: &Gateway| host.host().published_state().upstreams().count() == upstreams;
-        until("all know the upstreams", || self.hosts.iter().all(knows)).await;
+        wait_until("all know the upstreams", || self.hosts.iter().all(knows)).await;
     }
 
     fn crashes(&self) -> u32 {
@@ -65,18 +66,27 @@
     }
 
     /// Sends a request to one of the hosts on a new connection, and returns the response.
-    async fn ask(&self, host: usize, text: &str) -> Got {
-        Caller::connect(callers(&self.hosts[host % self.hosts.len()])).await.ask(text).await
+    async fn ask(&self, host: usize, text: &str) -> CallerResponse {
+        Caller::connect(caller_address(&self.hosts[host % self.hosts.len()]))
+            .await
+            .exchange(text)
+            .await
     }
 
     /// The same in a task of its own.
-    fn spawn_ask(&self, host: usize, text: String) -> JoinHandle<Got> {
-        let address = callers(&self.hosts[host % self.hosts.len()]);
-        tokio::task::spawn_local(async move { Caller::connect(address).await.ask(&text).await })
+    fn spawn_ask(&self, host: usize, text: String) -> JoinHandle<CallerResponse> {
+        let address = caller_address(&self.hosts[host % self.hosts.len()]);
+        tokio::task::spawn_local(
+            async move { Caller::connect(address).await.exchange(&text).await },
+        )
     }
 
     /// Sends the request to one host after the other, under another id each time.
-    async fn send_repeatedly(&self, arrivals: usize, request: fn(&str) -> String) -> Vec<Got> {
+    async fn send_repeatedly(
+        &self,
+        arrivals: usize,
+        request: fn(&str) -> String,
+    ) -> Vec<CallerResponse> {
         let mut responses = Vec::new();
         for number in 0..arrivals {
             responses.push(self.ask(number, &request(&format!("id-{number}"))).await);
@@ -123,9 +133,9 @@
         let site = Site::start("/any/bad?page=1").await;
         for number in 0..18 {
             let own = Ipv4Addr::new(127, 200, 0, number + 1);
-            let host = callers(&site.hosts[usize::from(number) % site.hosts.len()]);
+            let host = caller_address(&site.hosts[usize::from(number) % site.hosts.len()]);
             let mut caller = Caller::connect_from(own, host).await;
-            caller.ask(&read(&format!("id-{number}"))).await;
+            caller.exchange(&read(&format!("id-{number}"))).await;
             tokio::time::sleep(PAUSE).await;
         }
         assert!(site.crashes() <= MOST_CRASHES, "{} crashes", site.crashes());
@@ -140,12 +150,12 @@
         site.send_repeatedly(1, read).await;
         assert_eq!(site.crashes(), 2);
         let failing = StandInUpstream::start("i-failing").await;
-        failing.plays([Act::Status(500), Act::Status(500)]);
+        failing.add_to_script([Behaviour::Status(500), Behaviour::Status(500)]);
         site.publish(&failing);
         site.upstreams.iter().for_each(|u| site.published.remove(&u.id().parse().unwrap()));
         site.until_all_know(1).await;
         assert!(site.ask(1, &read("id-failed")).await.status >= 500);
-        assert!(!failing.seen().is_empty());
+        assert!(!failing.requests().is_empty());
         site.upstreams.iter().for_each(|upstream| site.publish(upstream));
         site.until_all_know(UPSTREAMS + 1).await;
         site.send_repeatedly(18, read).await;
@@ -159,7 +169,7 @@
     on_one_thread(async {
         let site = Site::start("/any/bad?page=1").await;
         let failing = StandInUpstream::start("i-failing").await;
-        failing.plays(vec![Act::Status(500); 100]);
+        failing.add_to_script(vec![Behaviour::Status(500); 100]);
         site.publish(&failing);
         site.until_all_know(UPSTREAMS + 1).await;
         site.send_repeatedly(30, read).await;
@@ -176,7 +186,7 @@
         let seed = site.hosts[0].host().settings.borrow().peers;
         site.hosts.push(start(settings(&[seed]), &site.published).await);
         let later = site.hosts.len() - 1;
-        until("it knows the others", || knows(&site.hosts[later], site.hosts.len())).await;
+        wait_until("it knows the others", || knows(&site.hosts[later], site.hosts.len())).await;
         let before = site.crashes();
         for number in 0..3 {
             assert_eq!(site.ask(later, &read(&format!("later-{number}"))).await.status, 503);
@@ -195,17 +205,17 @@
             let of = |host: &Gateway| host.host().quarantine.borrow().dump(host.host().now_ms());
             site.hosts.iter().flat_map(of).collect::<Vec<_>>()
         };
-        until("all hosts quarantine it", || quarantined().len() == site.hosts.len()).await;
+        wait_until("all hosts quarantine it", || quarantined().len() == site.hosts.len()).await;
         let operator = site.hosts[1].host().settings.borrow().operator.unwrap();
         let lift = |fingerprint: &str| {
             format!("POST /quarantine/lift/{fingerprint} HTTP/1.1\r\nHost: x\r\n\r\n")
         };
         let fingerprint = quarantined()[0].fingerprint.to_string();
         let mut asking = Caller::connect(operator).await;
-        assert_eq!(asking.ask(&lift("no-digest")).await.status, 400);
-        assert_eq!(asking.ask(&lift(&"0".repeat(32))).await.status, 404);
-        assert_eq!(asking.ask(&lift(&fingerprint)).await.status, 200);
-        until("no host quarantines it", || quarantined().is_empty()).await;
+        assert_eq!(asking.exchange(&lift("no-digest")).await.status, 400);
+        assert_eq!(asking.exchange(&lift(&"0".repeat(32))).await.status, 404);
+        assert_eq!(asking.exchange(&lift(&fingerprint)).await.status, 200);
+        wait_until("no host quarantines it", || quarantined().is_empty()).await;
         let before = site.runs_of("/any/bad?page=1");
         site.ask(2, &read("id-lifted")).await;
         assert!(site.runs_of("/any/bad?page=1") > before);
@@ -231,7 +241,7 @@
         };
         let (_, others) = tokio::join!(site.send_repeatedly(12, read), others);
         assert!(site.crashes() <= MOST_CRASHES, "{} crashes", site.crashes());
-        let refused: Vec<&Got> = others.iter().filter(|got| got.status != 200).collect();
+        let refused: Vec<&CallerResponse> = others.iter().filter(|got| got.status != 200).collect();
         assert!(refused.is_empty(), "{refused:?}");
     });
 }
@@ -242,24 +252,24 @@
 fn requests_in_flight_in_unrelated_crashes_are_served_afterwards() {
     on_one_thread(async {
         let site = Site::start("/none").await;
-        site.upstreams.iter().for_each(|upstream| upstream.plays([Act::Slow(2_000)]));
+        site.upstreams.iter().for_each(|upstream| upstream.add_to_script([Behaviour::Slow(2_000)]));
         let popular = |number: usize| get("/any/popular", &format!("id-{number}"));
         let asking = (0..UPSTREAMS).map(|number| site.spawn_ask(number, popular(number)));
         let asking: Vec<_> = asking.collect();
-        until("all are asked", || site.runs_of("/any/popular") >= UPSTREAMS).await;
+        wait_until("all are asked", || site.runs_of("/any/popular") >= UPSTREAMS).await;
         site.upstreams.iter().for_each(StandInUpstream::crash);
-        site.upstreams.iter().for_each(StandInUpstream::plays_no_more);
+        site.upstreams.iter().for_each(StandInUpstream::clear_script);
         for asked in asking {
             asked.await.unwrap();
         }
         let all_back = || site.upstreams.iter().all(StandInUpstream::is_running);
-        until("they are back", all_back).await;
+        wait_until("they are back", all_back).await;
         let is_known = |id: &str| {
             let id: UpstreamId = id.parse().unwrap();
             let host = site.hosts[0].host();
             !host.upstreams.borrow().get(&id).unwrap().is_excluded(host.now_ms())
         };
-        until("they are used again", || site.upstreams.iter().all(|u| is_known(u.id()))).await;
+        wait_until("they are used again", || site.upstreams.iter().all(|u| is_known(u.id()))).await;
         for number in 0..6 {
             let got = site.ask(number, &popular(100 + number)).await;
             let now_ms = site.hosts[0].host().now_ms();
