--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,24 +1,24 @@
-//! Upstreams, hosts and callers in virtual time, around the real decisions.
+//! Simulates upstreams, hosts and callers in virtual time, with the load balancer's real scheduler.
 //!
-//! Nobody knows from a running fleet what could have been served at best. Here the same load
-//! is played with the product's own scheduler, with a queue that sees everything at once, and
-//! with simpler rules beside them; the difference is what decisions can still gain. A play is
-//! a pure function of its [`Site`], its [`Policy`] and a seed: figures are the same on each
-//! machine.
+//! A running deployment does not show how many requests it could have served at best. The
+//! emulator gives the same load to the scheduler, to an ideal queue that knows the state of every
+//! upstream at once, and to simpler policies; the difference shows how much better scheduling
+//! could get. The result depends only on the [`Site`], the [`Policy`] and the seed, so it is the
+//! same on every machine.
 //!
-//! - [`site`]: what is played
-//! - [`upstream`]: an upstream with slots, a queue, neighbours and a slow-down of its own
-//! - [`play`]: hosts and callers around it
-//! - [`figures`]: what callers got
+//! - [`site`]: the simulated deployment and its load
+//! - [`upstream`]: an upstream with slots, a queue and noisy neighbours
+//! - [`simulation`]: the hosts and callers
+//! - [`figures`]: what callers experienced
 
 pub mod figures;
-pub mod play;
 mod policy;
+pub mod simulation;
 pub mod site;
 mod timeline;
 pub mod upstream;
 
 pub use figures::Figures;
-pub use play::play;
 pub use policy::Policy;
+pub use simulation::simulate;
 pub use site::Site;
--- a/crates/emulator/src/play.rs
+++ b/crates/emulator/src/simulation.rs
@@ -74,7 +74,7 @@
     Leaves { request: usize },
 }
 
-struct Play<'s> {
+struct Simulation<'s> {
     site: &'s Site,
     policy: Policy,
     now_ms: f64,
@@ -91,18 +91,18 @@
 }
 
 /// Plays a site; equal seeds give equal figures.
-pub fn play(site: &Site, policy: Policy, seed: u64) -> Figures {
-    let mut play = Play::new(site, policy, seed);
-    play.run();
-    play.figures.answer_p99_ms = play.answers.p99_ms();
-    play.figures.refusal_p99_ms = play.refusals.p99_ms();
-    play.figures
+pub fn simulate(site: &Site, policy: Policy, seed: u64) -> Figures {
+    let mut simulation = Simulation::new(site, policy, seed);
+    simulation.run();
+    simulation.figures.answer_p99_ms = simulation.answers.p99_ms();
+    simulation.figures.refusal_p99_ms = simulation.refusals.p99_ms();
+    simulation.figures
 }
 
-impl<'s> Play<'s> {
-    fn new(site: &'s Site, policy: Policy, seed: u64) -> Play<'s> {
+impl<'s> Simulation<'s> {
+    fn new(site: &'s Site, policy: Policy, seed: u64) -> Simulation<'s> {
         let upstreams = (0..site.upstreams).map(|_| EmulatedUpstream::new(&site.work)).collect();
-        let mut play = Play {
+        let mut simulation = Simulation {
             site,
             policy,
             now_ms: 0.0,
@@ -116,12 +116,12 @@
             answers: Times::new(),
             refusals: Times::new(),
         };
-        for upstream in 0..play.upstreams.len() {
-            let at_ms = play.rng.random::<f64>() * site.work.neighbours_ms;
-            play.timeline.add(at_ms, Event::Neighbours { upstream });
+        for upstream in 0..simulation.upstreams.len() {
+            let at_ms = simulation.rng.random::<f64>() * site.work.neighbours_ms;
+            simulation.timeline.add(at_ms, Event::Neighbours { upstream });
         }
-        play.timeline.add(0.0, Event::Arrival);
-        play
+        simulation.timeline.add(0.0, Event::Arrival);
+        simulation
     }
 
     fn run(&mut self) {
--- a/crates/emulator/src/play/scheduled.rs
+++ b/crates/emulator/src/simulation/scheduled.rs
@@ -1,6 +1,6 @@
 //! The product's scheduler in a play: real decisions, emulated messages.
 
-use super::{Event, FIRST_WORD_MS, Play, State, request_of};
+use super::{Event, FIRST_WORD_MS, Simulation, State, request_of};
 use crate::site::Site;
 use dispatch::backpressure::Backpressure;
 use dispatch::scheduler::{
@@ -74,7 +74,7 @@
     }
 }
 
-impl Play<'_> {
+impl Simulation<'_> {
     pub(super) fn submit(&mut self, request: usize) {
         let now_ms = self.now();
         let taken = &self.requests[request];
--- a/crates/emulator/tests/goodput.rs
+++ b/crates/emulator/tests/goodput.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used)]
 
 use emulator::site::Work;
-use emulator::{Figures, Policy, Site, play};
+use emulator::{Figures, Policy, Site, simulate};
 use rstest::rstest;
 
 /// Upstreams that slow down at half of their slots, by three times when full.
@@ -23,7 +23,7 @@
 fn played(site: &Site, policy: Policy) -> Figures {
     let mut sum = Figures::default();
     for seed in 1..=6 {
-        let figures = play(site, policy, seed);
+        let figures = simulate(site, policy, seed);
         sum.asked += figures.asked;
         sum.in_time += figures.in_time;
         sum.in_time_again += figures.in_time_again;
@@ -87,5 +87,5 @@
 #[test]
 fn equal_seeds_give_equal_figures() {
     let site = Site { length_ms: 3_000.0, ..Site::default() };
-    assert_eq!(play(&site, Policy::Scheduled, 5), play(&site, Policy::Scheduled, 5));
+    assert_eq!(simulate(&site, Policy::Scheduled, 5), simulate(&site, Policy::Scheduled, 5));
 }
--- a/xtask/src/experiment.rs
+++ b/xtask/src/experiment.rs
@@ -1,7 +1,7 @@
 //! Plays one site at several loads with each policy, and prints what callers get.
 
 use crate::error::TaskError;
-use emulator::{Figures, Policy, Site, play};
+use emulator::{Figures, Policy, Site, simulate};
 use error_stack::{Report, ResultExt};
 use serde::{Deserialize, Serialize};
 use std::path::PathBuf;
@@ -75,7 +75,7 @@
 
 fn play_all(experiment: &Experiment, policy: Policy, load: f64) -> Vec<Row> {
     let site = Site { load, ..experiment.site.clone() };
-    let play_one = |&seed: &u64| Row { policy, load, seed, figures: play(&site, policy, seed) };
+    let play_one = |&seed: &u64| Row { policy, load, seed, figures: simulate(&site, policy, seed) };
     experiment.seeds.iter().map(play_one).collect()
 }
 
