--- a/crates/emulator/src/figures.rs
+++ b/crates/emulator/src/figures.rs
@@ -1,56 +1,60 @@
-//! What callers got.
+//! Outcomes that callers experienced.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Outcomes of a play.
+/// Counts and times of one simulation.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Figures {
-    /// Requests of callers, each counted once.
-    pub asked: u64,
-    /// Answered within the objective of their first try.
+    /// Requests of callers; a retry does not count again.
+    #[serde(rename = "asked")]
+    pub requests: u64,
+    /// Requests answered on the first try within the objective.
     pub in_time: u64,
-    /// Refused at first, and answered within the objective of their second try.
-    pub in_time_again: u64,
-    /// Answered later.
+    /// Requests refused first, whose retry was answered within the objective.
+    #[serde(rename = "in_time_again")]
+    pub in_time_on_retry: u64,
+    /// Requests answered after the objective.
     pub late: u64,
-    /// Refused to the end.
+    /// Requests whose retry was refused, too.
     pub refused: u64,
-    /// Not answered before the caller left.
+    /// Requests not answered by the caller's deadline.
     pub timed_out: u64,
-    /// Time to an answer, 99 in 100.
-    pub answer_p99_ms: u64,
-    /// Time to a refusal, 99 in 100.
+    /// 99th percentile of the time to a response, counted from the start of its try.
+    #[serde(rename = "answer_p99_ms")]
+    pub response_p99_ms: u64,
+    /// 99th percentile of the time to a refusal, counted from the start of its try.
     pub refusal_p99_ms: u64,
-    /// Health checks.
-    pub asks: u64,
-    /// Messages between hosts.
+    /// Probes sent to upstreams.
+    #[serde(rename = "asks")]
+    pub probes: u64,
+    /// Messages sent between hosts, lost ones included.
     pub messages: u64,
 }
 
 impl Figures {
-    /// Part that was answered within the objective of the first try.
+    /// Share of the requests that were answered on the first try within the objective.
     pub fn in_time_share(&self) -> f64 {
-        self.in_time as f64 / self.asked.max(1) as f64
+        self.in_time as f64 / self.requests.max(1) as f64
     }
 
-    /// Requests answered within an objective of theirs.
+    /// Requests answered within the objective, on the first try or on the retry.
     pub fn served(&self) -> u64 {
-        self.in_time + self.in_time_again
+        self.in_time + self.in_time_on_retry
     }
 }
 
-/// Collects times.
+/// Distribution of times in milliseconds.
 #[derive(Debug)]
-pub(crate) struct Times(Histogram<u64>);
+pub(crate) struct TimeHistogram(Histogram<u64>);
 
-impl Times {
-    pub(crate) fn new() -> Times {
-        // Bounds of the library for whole milliseconds up to a minute: they can't be refused.
-        Times(Histogram::new_with_bounds(1, 60_000, 3).unwrap_or_else(|_| unreachable!()))
+impl TimeHistogram {
+    pub(crate) fn new() -> TimeHistogram {
+        // 1 ms to a minute at three significant digits: bounds that `Histogram` accepts.
+        TimeHistogram(Histogram::new_with_bounds(1, 60_000, 3).unwrap_or_else(|_| unreachable!()))
     }
 
-    pub(crate) fn add(&mut self, time_ms: f64) {
+    pub(crate) fn record(&mut self, time_ms: f64) {
         self.0.saturating_record(time_ms as u64);
     }
 
--- a/crates/emulator/src/simulation.rs
+++ b/crates/emulator/src/simulation.rs
@@ -7,7 +7,7 @@
 
 mod scheduled;
 
-use crate::figures::{Figures, Times};
+use crate::figures::{Figures, TimeHistogram};
 use crate::policy::Policy;
 use crate::site::Site;
 use crate::timeline::Timeline;
@@ -86,16 +86,16 @@
     queue: VecDeque<usize>,
     scheduler: SchedulingHost,
     figures: Figures,
-    answers: Times,
-    refusals: Times,
+    response_times: TimeHistogram,
+    refusal_times: TimeHistogram,
 }
 
 /// Plays a site; equal seeds give equal figures.
 pub fn simulate(site: &Site, policy: Policy, seed: u64) -> Figures {
     let mut simulation = Simulation::new(site, policy, seed);
     simulation.run();
-    simulation.figures.answer_p99_ms = simulation.answers.p99_ms();
-    simulation.figures.refusal_p99_ms = simulation.refusals.p99_ms();
+    simulation.figures.response_p99_ms = simulation.response_times.p99_ms();
+    simulation.figures.refusal_p99_ms = simulation.refusal_times.p99_ms();
     simulation.figures
 }
 
@@ -113,8 +113,8 @@
             queue: VecDeque::new(),
             scheduler: SchedulingHost::new(site, seed),
             figures: Figures::default(),
-            answers: Times::new(),
-            refusals: Times::new(),
+            response_times: TimeHistogram::new(),
+            refusal_times: TimeHistogram::new(),
         };
         for upstream in 0..simulation.upstreams.len() {
             let at_ms = simulation.rng.random::<f64>() * site.work.neighbours_ms;
@@ -165,7 +165,7 @@
         // Rates and spreads that are no numbers play as one request a second of even length.
         let pause_ms = Exp::new(rate).map_or(1_000.0, |exp| exp.sample(&mut self.rng));
         self.timeline.add(self.now_ms + pause_ms, Event::Arrival);
-        self.figures.asked += 1;
+        self.figures.requests += 1;
         let request = Request {
             host: self.rng.random_range(0..self.site.hosts.max(1)),
             begun_ms: self.now_ms,
@@ -313,10 +313,10 @@
         let Request { begun_ms, is_second, .. } = self.requests[request];
         self.requests[request].state = State::Over;
         let took_ms = self.now_ms - begun_ms;
-        self.answers.add(took_ms);
+        self.response_times.record(took_ms);
         match (took_ms <= self.site.objective_ms, is_second) {
             (true, false) => self.figures.in_time += 1,
-            (true, true) => self.figures.in_time_again += 1,
+            (true, true) => self.figures.in_time_on_retry += 1,
             (false, _) => self.figures.late += 1,
         }
     }
@@ -325,7 +325,7 @@
     fn refuse(&mut self, request: usize, away_ms: f64) {
         let Request { host, begun_ms, leaves_ms, work_ms, is_second, .. } = self.requests[request];
         self.requests[request].state = State::Over;
-        self.refusals.add(self.now_ms - begun_ms);
+        self.refusal_times.record(self.now_ms - begun_ms);
         let jittered_ms = away_ms * (1.0 + self.rng.random::<f64>());
         let away_ms = jittered_ms.min((leaves_ms - self.now_ms) * AWAY_AT_MOST);
         if is_second {
--- a/crates/emulator/src/simulation/scheduled.rs
+++ b/crates/emulator/src/simulation/scheduled.rs
@@ -148,7 +148,7 @@
                 }
                 Effect::Probe(id) => {
                     let Some(upstream) = self.scheduler.index(&id) else { continue };
-                    self.figures.asks += 1;
+                    self.figures.probes += 1;
                     let way_ms = self.way_to_upstream_ms(0, upstream) + ANSWER_MS;
                     let asked = Event::AskedUpstream { upstream };
                     self.timeline.add(self.now_ms + way_ms, asked);
--- a/crates/emulator/tests/goodput.rs
+++ b/crates/emulator/tests/goodput.rs
@@ -24,9 +24,9 @@
     let mut sum = Figures::default();
     for seed in 1..=6 {
         let figures = simulate(site, policy, seed);
-        sum.asked += figures.asked;
+        sum.requests += figures.requests;
         sum.in_time += figures.in_time;
-        sum.in_time_again += figures.in_time_again;
+        sum.in_time_on_retry += figures.in_time_on_retry;
         sum.late += figures.late;
         sum.refused += figures.refused;
         sum.timed_out += figures.timed_out;
@@ -79,8 +79,8 @@
     let ours = played(&site, Policy::Scheduled);
     assert!(ours.in_time_share() >= least, "{ours:?}");
     assert_eq!(
-        ours.asked,
-        ours.in_time + ours.in_time_again + ours.late + ours.refused + ours.timed_out
+        ours.requests,
+        ours.in_time + ours.in_time_on_retry + ours.late + ours.refused + ours.timed_out
     );
 }
 
--- a/xtask/src/experiment.rs
+++ b/xtask/src/experiment.rs
@@ -82,15 +82,15 @@
 fn print(load: f64, policy: Policy, rows: &[Row]) {
     let sum = |count: fn(&Figures) -> u64| rows.iter().map(|row| count(&row.figures)).sum::<u64>();
     let most = |time: fn(&Figures) -> u64| rows.iter().map(|row| time(&row.figures)).max();
-    let asked = sum(|figures| figures.asked).max(1) as f64;
+    let asked = sum(|figures| figures.requests).max(1) as f64;
     let part = |count: fn(&Figures) -> u64| sum(count) as f64 / asked;
     println!(
         "| {load} | {policy:?} | {:.3} | {:.3} | {:.3} | {:.3} | {} | {} |",
         part(|figures| figures.in_time),
-        part(|figures| figures.in_time_again),
+        part(|figures| figures.in_time_on_retry),
         part(|figures| figures.late),
         part(|figures| figures.refused),
-        most(|figures| figures.answer_p99_ms).unwrap_or_default(),
+        most(|figures| figures.response_p99_ms).unwrap_or_default(),
         most(|figures| figures.refusal_p99_ms).unwrap_or_default(),
     );
 }
