--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' configuration: one base for all sites and an overlay for each.
+//! The operators' configuration: a base that all sites share, and an overlay for each site.
 //!
-//! The model here is what is in force after the overlay is merged into the base
-//! (RFC 7396, JSON Merge Patch) and the whole is checked. This crate knows nothing of IO.
+//! [`merge`] applies an overlay to the base as a JSON Merge Patch (RFC 7396) and validates
+//! the result, a [`SiteConfig`]. This crate does no I/O.
 
 mod check;
 mod diff;
--- a/crates/config/src/merge.rs
+++ b/crates/config/src/merge.rs
@@ -69,7 +69,7 @@
 
 fn read_good(text: &str) -> Option<Value> {
     let fits = text.len() <= MAX_TEXT_BYTES;
-    let value = fits.then(|| strict_json::read_good(text))?;
+    let value = fits.then(|| strict_json::parse(text))?;
     value.ok().filter(Value::is_object)
 }
 
@@ -148,7 +148,7 @@
         );
         return Err(vec![problem(FieldPath::root(), ProblemKind::TooLarge, &remedy)]);
     }
-    let document = strict_json::read(text).map_err(|error| {
+    let document = strict_json::parse_recording_duplicates(text).map_err(|error| {
         let remedy = match error.is_eof() {
             true => "the text ends early: publish the whole document",
             false => "write one JSON object, without comments or trailing commas",
--- a/crates/config/src/strict_json.rs
+++ b/crates/config/src/strict_json.rs
@@ -1,45 +1,45 @@
-//! JSON without silent losses.
+//! A JSON parser that detects duplicate keys.
 //!
-//! The usual parsers keep the last of two equal keys, and so would drop half of what an
-//! operator wrote. This reader notes every such key with its path.
+//! Most parsers keep the last value of a duplicate key, and so silently drop part of what
+//! an operator wrote. This one reports every duplicate key with its path.
 
 use crate::field_path::{FieldPath, Segment};
 use serde::de::{DeserializeSeed, Deserializer, Error, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Number, Value};
 use std::fmt;
 
-/// A document and the keys that it states more than once.
+/// A parsed document and the paths of its duplicate keys.
 #[derive(Debug)]
 pub(crate) struct Document {
     pub(crate) value: Value,
     pub(crate) duplicate_keys: Vec<FieldPath>,
 }
 
-/// Reads a JSON text; later of equal keys are dropped and noted.
-pub(crate) fn read(text: &str) -> Result<Document, serde_json::Error> {
-    let mut place = Place::default();
+/// Parses a JSON text. Of duplicate keys, keeps the first and records the paths of the others.
+pub(crate) fn parse_recording_duplicates(text: &str) -> Result<Document, serde_json::Error> {
+    let mut tracker = PathTracker::default();
     let mut parser = serde_json::Deserializer::from_str(text);
-    let value = Reader(Some(&mut place)).deserialize(&mut parser)?;
+    let value = ValueVisitor(Some(&mut tracker)).deserialize(&mut parser)?;
     parser.end()?;
-    Ok(Document { value, duplicate_keys: place.duplicate_keys })
+    Ok(Document { value, duplicate_keys: tracker.duplicate_keys })
 }
 
-/// Reads a JSON text without noting places, for which equal keys are an error.
-pub(crate) fn read_good(text: &str) -> Result<Value, serde_json::Error> {
+/// Parses a JSON text and fails on the first duplicate key; faster, as it tracks no paths.
+pub(crate) fn parse(text: &str) -> Result<Value, serde_json::Error> {
     let mut parser = serde_json::Deserializer::from_str(text);
-    let value = Reader(None).deserialize(&mut parser)?;
+    let value = ValueVisitor(None).deserialize(&mut parser)?;
     parser.end()?;
     Ok(value)
 }
 
-/// Where the reader stands, and what it noted on the way.
+/// The path of the value being parsed, and the duplicate keys found so far.
 #[derive(Debug, Default)]
-struct Place {
+struct PathTracker {
     path: Vec<Segment>,
     duplicate_keys: Vec<FieldPath>,
 }
 
-impl Place {
+impl PathTracker {
     fn enter(&mut self, segment: Segment) {
         self.path.push(segment);
     }
@@ -48,34 +48,34 @@
         self.path.pop();
     }
 
-    fn note_duplicate(&mut self) {
+    fn record_duplicate(&mut self) {
         self.duplicate_keys.push(FieldPath::from(self.path.clone()));
     }
 }
 
-/// Without a place, equal keys are an error.
-struct Reader<'a>(Option<&'a mut Place>);
+/// Builds a JSON value. Without a tracker, a duplicate key is an error.
+struct ValueVisitor<'a>(Option<&'a mut PathTracker>);
 
-impl Reader<'_> {
-    /// The reader of a value inside this one.
-    fn inner(&mut self) -> Reader<'_> {
-        Reader(self.0.as_deref_mut())
+impl ValueVisitor<'_> {
+    /// A visitor for a nested value, with the same tracker.
+    fn nested(&mut self) -> ValueVisitor<'_> {
+        ValueVisitor(self.0.as_deref_mut())
     }
 
     fn enter(&mut self, segment: impl FnOnce() -> Segment) {
-        if let Some(place) = &mut self.0 {
-            place.enter(segment());
+        if let Some(tracker) = &mut self.0 {
+            tracker.enter(segment());
         }
     }
 
     fn leave(&mut self) {
-        if let Some(place) = &mut self.0 {
-            place.leave();
+        if let Some(tracker) = &mut self.0 {
+            tracker.leave();
         }
     }
 }
 
-impl<'de> DeserializeSeed<'de> for Reader<'_> {
+impl<'de> DeserializeSeed<'de> for ValueVisitor<'_> {
     type Value = Value;
 
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<Value, D::Error> {
@@ -83,7 +83,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for Reader<'_> {
+impl<'de> Visitor<'de> for ValueVisitor<'_> {
     type Value = Value;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -118,7 +118,7 @@
         let mut items = Vec::new();
         loop {
             self.enter(|| Segment::Index(items.len()));
-            let item = access.next_element_seed(self.inner())?;
+            let item = access.next_element_seed(self.nested())?;
             self.leave();
             match item {
                 Some(item) => items.push(item),
@@ -133,10 +133,10 @@
             self.enter(|| Segment::Field(name.clone()));
             match &mut self.0 {
                 _ if !fields.contains_key(&name) => {}
-                Some(place) => place.note_duplicate(),
+                Some(tracker) => tracker.record_duplicate(),
                 None => return Err(A::Error::custom("a key is stated twice")),
             }
-            let value = access.next_value_seed(self.inner())?;
+            let value = access.next_value_seed(self.nested())?;
             self.leave();
             fields.entry(name).or_insert(value);
         }
