--- a/crates/config/src/field_path.rs
+++ b/crates/config/src/field_path.rs
@@ -1,17 +1,17 @@
-//! Where a value stands in a configuration.
+//! Path of a value in a configuration document.
 //!
-//! Ids may hold dots, so a path is a list of segments and only its text joins them;
-//! a segment that would be ambiguous there is quoted.
+//! Ids may contain dots, so a path is stored as a list of segments. `Display` joins them
+//! with dots and quotes any segment that would be ambiguous.
 
 use serde::{Serialize, Serializer};
 use serde_json::Value;
 use std::fmt;
 
-/// Place of a value, from the root down.
+/// Path from the root of a document to a value.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FieldPath(Vec<Segment>);
 
-/// One step down.
+/// One step of a path.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Segment {
     /// Field of an object.
@@ -21,22 +21,22 @@
 }
 
 impl FieldPath {
-    /// The whole document.
+    /// The empty path, which denotes the whole document.
     pub fn root() -> FieldPath {
         FieldPath::default()
     }
 
-    /// A path of object fields.
+    /// Builds a path of object fields.
     pub fn of<'a>(fields: impl IntoIterator<Item = &'a str>) -> FieldPath {
         FieldPath(fields.into_iter().map(|name| Segment::Field(name.to_owned())).collect())
     }
 
-    /// The field of the object at this path.
+    /// The path of a field of the object at this path.
     pub fn field(&self, name: &str) -> FieldPath {
         self.child(Segment::Field(name.to_owned()))
     }
 
-    /// The element of the array at this path.
+    /// The path of an element of the array at this path.
     pub fn index(&self, index: usize) -> FieldPath {
         self.child(Segment::Index(index))
     }
@@ -46,13 +46,13 @@
         &self.0
     }
 
-    /// The path without its last segment; none at the root.
+    /// The path without its last segment, or `None` at the root.
     pub fn parent(&self) -> Option<FieldPath> {
         let (_, parent) = self.0.split_last()?;
         Some(FieldPath(parent.to_vec()))
     }
 
-    /// The value at this path.
+    /// The value at this path in the document.
     pub fn find<'a>(&self, document: &'a Value) -> Option<&'a Value> {
         self.0.iter().try_fold(document, |value, segment| match segment {
             Segment::Field(name) => value.get(name),
@@ -60,9 +60,9 @@
         })
     }
 
-    /// Takes the value at this path out of the document; an element takes its whole array
-    /// with it, so that no other element changes its index.
-    pub(crate) fn take_out(&self, document: &mut Value) -> bool {
+    /// Removes the value at this path and returns whether it was there. For an array element,
+    /// clears the whole array, so that no other element changes its index.
+    pub(crate) fn remove_from(&self, document: &mut Value) -> bool {
         let Some((last, parent)) = self.0.split_last() else {
             return false;
         };
@@ -95,11 +95,11 @@
 
 impl From<&serde_path_to_error::Path> for FieldPath {
     fn from(path: &serde_path_to_error::Path) -> FieldPath {
-        use serde_path_to_error::Segment as Step;
-        let segments = path.iter().filter_map(|step| match step {
-            Step::Seq { index } => Some(Segment::Index(*index)),
-            Step::Map { key } => Some(Segment::Field(key.clone())),
-            Step::Enum { .. } | Step::Unknown => None,
+        use serde_path_to_error::Segment as SerdeSegment;
+        let segments = path.iter().filter_map(|segment| match segment {
+            SerdeSegment::Seq { index } => Some(Segment::Index(*index)),
+            SerdeSegment::Map { key } => Some(Segment::Field(key.clone())),
+            SerdeSegment::Enum { .. } | SerdeSegment::Unknown => None,
         });
         FieldPath(segments.collect())
     }
@@ -129,7 +129,7 @@
     }
 }
 
-/// A field's name, quoted where plain text would be ambiguous.
+/// Displays a field name, quoted where the bare name would be ambiguous.
 struct FieldName<'a>(&'a str);
 
 impl fmt::Display for FieldName<'_> {
--- a/crates/config/src/merge.rs
+++ b/crates/config/src/merge.rs
@@ -184,7 +184,7 @@
         if !taken_out.contains(&problem.field) {
             problems.push(problem);
         }
-        if !place.take_out(&mut document) {
+        if !place.remove_from(&mut document) {
             break;
         }
         taken_out.push(place);
