--- a/crates/config/src/merge.rs
+++ b/crates/config/src/merge.rs
@@ -1,11 +1,10 @@
-//! From two texts to one checked configuration.
+//! Merges a base and an overlay into one validated configuration.
 //!
-//! Texts are read strictly, the overlay is merged into the base (RFC 7396), the result
-//! is read into the model and checked as a whole. Each problem is traced back to the
-//! document that states the field.
+//! Both texts are parsed strictly, the overlay is merged into the base (RFC 7396), and the
+//! result is deserialized and validated. Each problem names the document that sets the field.
 //!
-//! An entry host waits for this with every change, so good texts take a short way that
-//! keeps no paths; a text that fails there is read again to name its problems.
+//! A host waits for this on every configuration change. Valid texts therefore take a fast
+//! path that tracks no field paths; texts that fail it are parsed again to report the problems.
 
 use crate::field_path::FieldPath;
 use crate::model::SiteConfig;
@@ -14,31 +13,31 @@
 use serde::Deserialize;
 use serde_json::{Map, Value};
 
-/// Longest text of a base or overlay: what the configuration service holds.
+/// Longest text of a base or overlay: the most that the configuration service stores.
 pub const MAX_TEXT_BYTES: usize = 1_000_000;
 
-/// A checked configuration and what is odd about it.
+/// A validated configuration and its warnings.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Merged {
-    /// What may be put in force.
+    /// The configuration, ready to be applied.
     pub config: SiteConfig,
-    /// What the operator should look at; none of it keeps the configuration back.
+    /// Findings that the operator should review but that don't make the configuration invalid.
     pub warnings: Vec<Problem>,
 }
 
-/// Merges an overlay into a base and checks the whole.
+/// Merges an overlay into a base and validates the result.
 ///
 /// # Errors
 ///
 /// All problems that were found, each with its field and remedy.
 pub fn merge(base_text: &str, overlay_text: Option<&str>) -> Result<SiteConfig, ConfigError> {
-    match merge_good(base_text, overlay_text) {
+    match merge_fast(base_text, overlay_text) {
         Some(config) => Ok(config),
         None => merge_with_warnings(base_text, overlay_text).map(|merged| merged.config),
     }
 }
 
-/// Like [`merge`], and says what is odd though not wrong.
+/// Like [`merge`], but also returns warnings.
 ///
 /// # Errors
 ///
@@ -47,27 +46,28 @@
     base_text: &str,
     overlay_text: Option<&str>,
 ) -> Result<Merged, ConfigError> {
-    let documents = Documents::read(base_text, overlay_text)?;
+    let documents = Documents::parse(base_text, overlay_text)?;
     let merged = documents.merged();
-    let config = to_model(merged.clone()).map_err(|found| documents.trace(&merged, found))?;
-    let found = config.check();
-    if !found.is_empty() {
-        return Err(documents.trace(&merged, found));
+    let config =
+        deserialize_all(merged.clone()).map_err(|problems| documents.locate(&merged, problems))?;
+    let problems = config.check();
+    if !problems.is_empty() {
+        return Err(documents.locate(&merged, problems));
     }
     Ok(Merged { config, warnings: documents.warnings() })
 }
 
-/// The short way: nothing if anything at all is wrong.
-fn merge_good(base_text: &str, overlay_text: Option<&str>) -> Option<SiteConfig> {
-    let mut merged = read_good(base_text)?;
+/// The fast path of [`merge`]: `None` if there is any problem.
+fn merge_fast(base_text: &str, overlay_text: Option<&str>) -> Option<SiteConfig> {
+    let mut merged = parse_object(base_text)?;
     if let Some(text) = overlay_text {
-        json_patch::merge(&mut merged, &read_good(text)?);
+        json_patch::merge(&mut merged, &parse_object(text)?);
     }
     let config = SiteConfig::deserialize(merged).ok()?;
     config.check().is_empty().then_some(config)
 }
 
-fn read_good(text: &str) -> Option<Value> {
+fn parse_object(text: &str) -> Option<Value> {
     let fits = text.len() <= MAX_TEXT_BYTES;
     let value = fits.then(|| strict_json::parse(text))?;
     value.ok().filter(Value::is_object)
@@ -80,13 +80,13 @@
 }
 
 impl Documents {
-    fn read(base_text: &str, overlay_text: Option<&str>) -> Result<Documents, ConfigError> {
-        let base = read_document(Source::Base, base_text);
-        let overlay = overlay_text.map(|text| read_document(Source::Overlay, text)).transpose();
+    fn parse(base_text: &str, overlay_text: Option<&str>) -> Result<Documents, ConfigError> {
+        let base = parse_document(Source::Base, base_text);
+        let overlay = overlay_text.map(|text| parse_document(Source::Overlay, text)).transpose();
         match (base, overlay) {
             (Ok(base), Ok(overlay)) => Ok(Documents { base, overlay }),
-            (Err(mut problems), Err(more)) => {
-                problems.extend(more);
+            (Err(mut problems), Err(overlay_problems)) => {
+                problems.extend(overlay_problems);
                 Err(ConfigError { problems })
             }
             (Err(problems), Ok(_)) | (Ok(_), Err(problems)) => Err(ConfigError { problems }),
@@ -101,39 +101,39 @@
         merged
     }
 
-    /// Names the document that states each field, and the value found there.
-    fn trace(&self, merged: &Value, mut found: Vec<Problem>) -> ConfigError {
-        for problem in &mut found {
+    /// Adds to each problem the document that sets the field, and the field's value.
+    fn locate(&self, merged: &Value, mut problems: Vec<Problem>) -> ConfigError {
+        for problem in &mut problems {
             problem.source = self.source_of(problem);
             if problem.value.is_none() {
                 problem.value = problem.field.find(merged).cloned();
             }
         }
-        ConfigError { problems: found }
+        ConfigError { problems }
     }
 
     fn source_of(&self, problem: &Problem) -> Source {
-        let states = |document: &Value| problem.field.find(document).is_some();
+        let sets_field = |document: &Value| problem.field.find(document).is_some();
         match &self.overlay {
             _ if problem.kind.spans_fields() => Source::Merged,
-            Some(overlay) if states(overlay) => Source::Overlay,
-            _ if states(&self.base) => Source::Base,
+            Some(overlay) if sets_field(overlay) => Source::Overlay,
+            _ if sets_field(&self.base) => Source::Base,
             Some(_) => Source::Merged,
             None => Source::Base,
         }
     }
 
-    /// Where the overlay states no difference.
+    /// Overlay fields that change nothing in the base.
     fn warnings(&self) -> Vec<Problem> {
         let mut warnings = Vec::new();
         if let (Value::Object(base), Some(Value::Object(overlay))) = (&self.base, &self.overlay) {
-            find_restated(&FieldPath::root(), overlay, base, &mut warnings);
+            find_redundant_fields(&FieldPath::root(), overlay, base, &mut warnings);
         }
         warnings
     }
 }
 
-fn read_document(source: Source, text: &str) -> Result<Value, Vec<Problem>> {
+fn parse_document(source: Source, text: &str) -> Result<Value, Vec<Problem>> {
     let problem = |field, kind, remedy: &str| Problem {
         source,
         field,
@@ -169,31 +169,32 @@
     }
 }
 
-/// Reads the model; on an error, notes it, takes the faulty value out and reads on.
-fn to_model(mut document: Value) -> Result<SiteConfig, Vec<Problem>> {
+/// Deserializes the configuration. On an error, records it, removes the faulty value and
+/// tries again, so that one run reports up to [`MAX_PROBLEMS`] errors.
+fn deserialize_all(mut document: Value) -> Result<SiteConfig, Vec<Problem>> {
     let mut problems = Vec::new();
-    let mut taken_out: Vec<FieldPath> = Vec::new();
+    let mut removed: Vec<FieldPath> = Vec::new();
     while problems.len() < MAX_PROBLEMS {
         let error = match serde_path_to_error::deserialize::<_, SiteConfig>(&document) {
             Ok(config) if problems.is_empty() => return Ok(config),
             Ok(_) => break,
             Err(error) => error,
         };
-        let place = FieldPath::from(error.path());
-        let problem = model_problem(&place, error.inner().to_string(), &document);
-        if !taken_out.contains(&problem.field) {
+        let path = FieldPath::from(error.path());
+        let problem = classify_error(&path, error.inner().to_string(), &document);
+        if !removed.contains(&problem.field) {
             problems.push(problem);
         }
-        if !place.remove_from(&mut document) {
+        if !path.remove_from(&mut document) {
             break;
         }
-        taken_out.push(place);
+        removed.push(path);
     }
     Err(problems)
 }
 
-/// Sorts an error of the model's reader into our kinds; it tells them by its message only.
-fn model_problem(place: &FieldPath, message: String, document: &Value) -> Problem {
+/// Classifies a deserialization error by its message: serde exposes no error kind.
+fn classify_error(path: &FieldPath, message: String, document: &Value) -> Problem {
     let named = message.split('`').nth(1).unwrap_or_default();
     let (field, kind, remedy) = match message.split(' ').next() {
         Some("unknown") if message.starts_with("unknown field") => {
@@ -201,22 +202,22 @@
                 Some((_, expected)) => format!("remove it, or correct its name: {expected}"),
                 None => "remove it".to_owned(),
             };
-            (place.clone(), ProblemKind::UnknownField, remedy)
+            (path.clone(), ProblemKind::UnknownField, remedy)
         }
         Some("missing") => {
-            let field = place.field(named);
+            let field = path.field(named);
             (field, ProblemKind::MissingField, "state it in the base or the overlay".to_owned())
         }
         _ => {
             let remedy = "write a value of the expected kind".to_owned();
-            (place.clone(), ProblemKind::WrongValue(message), remedy)
+            (path.clone(), ProblemKind::WrongValue(message), remedy)
         }
     };
     let value = field.find(document).cloned();
     Problem { source: Source::Merged, field, kind, value, remedy }
 }
 
-fn find_restated(
+fn find_redundant_fields(
     path: &FieldPath,
     overlay: &Map<String, Value>,
     base: &Map<String, Value>,
@@ -226,7 +227,7 @@
         let field = path.field(name);
         let kind = match (value, base.get(name)) {
             (Value::Object(inner), Some(Value::Object(base))) if !inner.is_empty() => {
-                find_restated(&field, inner, base, warnings);
+                find_redundant_fields(&field, inner, base, warnings);
                 continue;
             }
             (Value::Null, None) => ProblemKind::RemovesNothing,
