--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -1,7 +1,7 @@
-//! The merged model.
+//! The configuration of a site, as merged from base and overlay.
 //!
-//! Maps are keyed by id, so that an overlay can name one upstream and state only what
-//! differs there. Every field but the essential ones has a default.
+//! Services and upstreams are maps keyed by id, so that an overlay can change single fields
+//! of one upstream. Every field that has a sensible default is optional.
 
 use domain::{
     ByteCount, Connections, Millis, PerSecond, ServiceName, Share, Slots, UpstreamId, ZoneName,
@@ -10,25 +10,25 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Everything in force at one site.
+/// The configuration in force at one site.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SiteConfig {
     /// Availability zones of the site.
     pub availability_zones: Vec<ZoneName>,
-    /// How an upstream is chosen.
+    /// How an upstream is chosen for a request.
     #[serde(default)]
     pub policy: Policy,
-    /// Limits of each entry host.
+    /// Limits of each host.
     #[serde(default)]
     pub limits: HostLimits,
-    /// Measuring that all entry hosts together may spend.
+    /// Budget for probes and control traffic.
     #[serde(default)]
     pub measurement: MeasurementBudget,
-    /// Retries.
+    /// Retry limits.
     #[serde(default)]
     pub retry: RetrySettings,
-    /// Hedged requests.
+    /// Limits of hedged requests.
     #[serde(default)]
     pub hedge: HedgeSettings,
     /// Fair sharing between callers.
@@ -38,36 +38,38 @@
     pub services: BTreeMap<ServiceName, Service>,
 }
 
-/// How an upstream is chosen: the named baselines and the ways weighed against them.
+/// Load-balancing policy: how an upstream is chosen for a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
-    /// Any upstream, at random.
+    /// A random upstream.
     Random,
-    /// Each in turn.
+    /// Each upstream in turn.
     RoundRobin,
-    /// Fewest in flight from this entry host.
+    /// The upstream with the fewest requests in flight from this host.
     LeastInFlight,
-    /// The better of two random ones by local in-flight count.
+    /// Of two random upstreams, the one with fewer requests in flight from this host.
     TwoChoices,
-    /// The best by reported load, service time and errors.
+    /// The best upstream by reported load, service time and errors.
     #[default]
     LoadAware,
-    /// Slots lent by the service's lender, as far as the control budget goes.
+    /// An upstream of which this host leases a slot. One host per service grants the leases,
+    /// within the control traffic budget.
     SlotLease,
 }
 
-/// Limits of each entry host.
+/// Limits of each host.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct HostLimits {
-    /// Largest request body.
+    /// Largest request body that is accepted.
     pub max_body_bytes: ByteCount,
-    /// Largest answer that is held until whole, so that a retry stays possible.
+    /// Largest response that is buffered whole before it is forwarded, so that a retry stays
+    /// possible until then.
     pub held_answer_bytes: ByteCount,
-    /// Calls in progress at one entry host.
+    /// Requests in progress at one host.
     pub max_calls: u32,
-    /// Deepest chain of calls.
+    /// Longest chain of calls between services that leads to a request.
     pub max_depth: u32,
 }
 
@@ -82,15 +84,15 @@
     }
 }
 
-/// Measuring that all listed entry hosts together may spend.
+/// Budget for probes and control traffic.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MeasurementBudget {
-    /// Probes of all services, from all entry hosts.
+    /// Probes per second of all services, from all hosts together.
     pub probes_per_second: PerSecond,
-    /// Control traffic of one entry host.
+    /// Control traffic of one host, in bytes per second.
     pub control_bytes_per_second: ByteCount,
-    /// Silence after which an upstream is probed.
+    /// An upstream is probed when nothing was received from it for this long.
     pub probe_after_silence_ms: Millis,
 }
 
@@ -104,13 +106,13 @@
     }
 }
 
-/// Retries of repeatable requests.
+/// Limits of retries.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RetrySettings {
-    /// Sendings of one call, the first included.
+    /// Attempts per request, the first included.
     pub max_attempts: u32,
-    /// Retries as a share of first sendings.
+    /// Retries as a share of first attempts.
     pub budget_share: Share,
 }
 
@@ -120,15 +122,15 @@
     }
 }
 
-/// Hedged requests: a second sending while the first is still out.
+/// Limits of hedged requests: a second attempt is sent while the first is still in flight.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct HedgeSettings {
-    /// Hedges as a share of first sendings; 0 turns them off.
+    /// Hedges as a share of first attempts; 0 turns hedging off.
     pub budget_share: Share,
-    /// Quantile of recent latency after which a call is hedged.
+    /// Quantile of recent latency after which a request is hedged.
     pub after_quantile: Share,
-    /// Never hedge earlier than this.
+    /// Shortest time after which a request is hedged.
     pub min_delay_ms: Millis,
 }
 
@@ -146,7 +148,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CallerLimits {
-    /// Waiting calls of one caller, per service and entry host.
+    /// Waiting requests of one caller, per service and host.
     pub max_waiting: u32,
 }
 
@@ -156,28 +158,28 @@
     }
 }
 
-/// One service.
+/// A service: its routes and the upstreams that serve it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
     /// Which requests belong to the service.
     pub routes: Vec<Route>,
-    /// Time for a call where the caller states none.
+    /// Deadline of a request for which the caller sets none.
     #[serde(default = "default_deadline")]
     pub deadline_ms: Millis,
-    /// Calls waiting for a slot, per entry host.
+    /// Requests that wait for a slot, per host.
     #[serde(default = "default_queue_limit")]
     pub queue_limit: u32,
-    /// Probes of this service, from all entry hosts.
+    /// Probes per second of this service, from all hosts together.
     #[serde(default = "default_service_probes")]
     pub probes_per_second: PerSecond,
-    /// Time over which a new upstream reaches its full share.
+    /// Time over which a new upstream's share of requests rises to its full value.
     #[serde(default = "default_slow_start")]
     pub slow_start_ms: Millis,
-    /// Part of the upstreams that is never ejected.
+    /// Share of the upstreams that is never ejected.
     #[serde(default = "default_eject_floor")]
     pub eject_floor_share: Share,
-    /// Instances by id.
+    /// Upstreams by id.
     pub upstreams: BTreeMap<UpstreamId, Upstream>,
 }
 
@@ -201,24 +203,24 @@
     Share(0.5)
 }
 
-/// Which requests belong to a service, and whether they may be repeated.
+/// Which requests belong to a service, and whether they may be retried.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Method, or any.
+    /// Method that the route matches.
     #[serde(default)]
     pub method: Method,
-    /// Path prefix, on segment borders.
+    /// Path prefix; matches whole path segments only.
     pub path_prefix: String,
-    /// Whether a request may be sent again.
+    /// Whether a request may be retried.
     pub repeat: RepeatRule,
 }
 
-/// Method of a route.
+/// HTTP method of a route.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Method {
-    /// Every method.
+    /// Any method.
     #[default]
     Any,
     /// GET.
@@ -237,13 +239,13 @@
     Options,
 }
 
-/// Whether a request may be sent again.
+/// Whether a request may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RepeatRule {
-    /// Idempotent: may be retried and hedged.
+    /// May be retried and hedged.
     Idempotent,
-    /// Runs at most once.
+    /// Must run at most once.
     AtMostOnce,
 }
 
@@ -251,15 +253,15 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Upstream {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Availability zone that it runs in.
     pub availability_zone: ZoneName,
-    /// Requests it works on at once.
+    /// Requests that it serves concurrently.
     pub slots: Slots,
-    /// Connections it accepts, from all entry hosts together.
+    /// Connections that it accepts from all hosts together.
     pub connections: Connections,
-    /// Receives no new work.
+    /// Draining: the upstream receives no new requests.
     #[serde(default)]
     pub leaving: bool,
 }
