--- a/crates/config/src/path.rs
+++ b/crates/config/src/path.rs
@@ -1,19 +1,20 @@
-//! The readings of a path.
+//! Path normalization.
 //!
-//! Upstreams decode and tidy paths in ways of their own. The normal form is what all of
-//! them agree on (RFC 3986, sections 2.3 and 6.2.2). The loosest reading goes as far as
-//! any common one does, so two paths that some upstream could take for the same have the
-//! same loosest reading; it only ever makes a rule stricter.
+//! Upstreams decode and normalize paths in different ways. The normal form applies only what
+//! RFC 3986 (sections 2.3 and 6.2.2) makes equivalent. The loose form applies every
+//! normalization in common use, so two paths that some upstream could treat as the same have
+//! the same loose form; it is used only to make a rule stricter.
 
 use std::borrow::Cow;
 
-/// Bytes of a percent-encoded byte.
+/// Length of a percent-encoded byte.
 const ENCODED_BYTES: usize = 3;
 
-/// A path with its unreserved characters decoded and all other encodings in upper case.
+/// The path with unreserved characters decoded and all other percent-encodings in upper case.
 ///
-/// `None` if no two servers need agree on it: not absolute, a backslash, a malformed
-/// encoding, an encoded control character, or a byte that never stands in UTF-8.
+/// `None` if servers may interpret the path differently: it is not absolute, or contains a
+/// backslash, a malformed encoding, an encoded control character, or a byte that never occurs
+/// in UTF-8.
 pub fn normal_form(path: &str) -> Option<Cow<'_, str>> {
     if !path.starts_with('/') || path.contains('\\') {
         return None;
@@ -37,38 +38,39 @@
     Some(Cow::Owned(normal))
 }
 
-/// The loosest reading of a path in normal form: all ASCII decoded as often as it was
-/// encoded, backslashes as slashes, no parameters, no empty segments, lower case.
-pub fn loosest_reading(normal: &str) -> String {
+/// The loose form of a path in normal form: ASCII decoded repeatedly until no encoding is
+/// left, backslashes as slashes, no path parameters, no empty segments, lower case.
+pub fn loose_form(normal: &str) -> String {
     let mut decoded = String::with_capacity(normal.len());
     for c in normal.chars() {
         decoded.push(c.to_ascii_lowercase());
-        decode_end(&mut decoded);
+        decode_suffix(&mut decoded);
     }
-    let mut reading = String::with_capacity(decoded.len());
+    let mut loose = String::with_capacity(decoded.len());
     for segment in decoded.split(['/', '\\']).map(without_parameters) {
         if !segment.is_empty() {
-            reading.push('/');
-            reading.push_str(segment);
+            loose.push('/');
+            loose.push_str(segment);
         }
     }
-    reading
+    loose
 }
 
-/// Whether a segment is `.` or `..`.
+/// Whether any segment is `.` or `..`.
 pub fn has_dot_segment(path: &str) -> bool {
     path.split('/').any(|segment| matches!(segment, "." | ".."))
 }
 
-/// Decodes what the last character completed, again where that completes another.
-fn decode_end(text: &mut String) {
-    while let Some(byte) = encoded_end(text).filter(u8::is_ascii) {
+/// Decodes an encoded ASCII byte at the end of the text, and again if the decoded byte
+/// completes another encoding.
+fn decode_suffix(text: &mut String) {
+    while let Some(byte) = encoded_suffix(text).filter(u8::is_ascii) {
         text.truncate(text.len() - ENCODED_BYTES);
         text.push(char::from(byte.to_ascii_lowercase()));
     }
 }
 
-fn encoded_end(text: &str) -> Option<u8> {
+fn encoded_suffix(text: &str) -> Option<u8> {
     let start = text.len().checked_sub(ENCODED_BYTES)?;
     let digits = text.as_bytes().get(start..)?.strip_prefix(b"%")?;
     leading_hex(digits)
@@ -88,7 +90,8 @@
     }
 }
 
-/// A segment up to its parameters, or to what a second decoding takes for a query.
+/// The segment up to its parameters, or up to a decoded `?` or `#`, where a server that
+/// decodes again would begin the query or fragment.
 fn without_parameters(segment: &str) -> &str {
     segment.split([';', '?', '#']).next().unwrap_or_default()
 }
@@ -97,7 +100,8 @@
     byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'.' | b'_' | b'~')
 }
 
-/// Control characters, and bytes that lenient decoders take for other characters.
+/// Whether the byte is a control character, or never occurs in UTF-8: lenient decoders map
+/// such bytes to other characters.
 fn is_forbidden(byte: u8) -> bool {
     byte.is_ascii_control() || matches!(byte, 0xc0 | 0xc1 | 0xf5..)
 }
--- a/crates/config/src/route.rs
+++ b/crates/config/src/route.rs
@@ -1,48 +1,47 @@
-//! Which service a request belongs to.
+//! Finds the service and route of a request.
 //!
-//! Of the routes that match, the longest path prefix wins, then a stated method over
-//! any. Paths are compared in their normal form. An upstream may read a path more
-//! loosely than that: where any such reading belongs to an at-most-once route, the
-//! request runs at most once, whatever its own route says. A path that some reading
-//! gives a dot segment belongs to no service.
+//! Of the routes that match, the longest path prefix wins, then a specific method over
+//! `ANY`. Paths are compared in their normal form. An upstream may normalize a path further:
+//! if it could then match an at-most-once route, the request runs at most once, whatever its
+//! own route says. A path whose loose form contains a dot segment matches no route.
 
 use crate::model::{Method, RepeatRule, Service, SiteConfig};
 use crate::path;
 use domain::{FastMap, ServiceName};
 
-/// Index over all routes of a configuration: built once, asked for each call.
+/// Index of all routes of a configuration, for lookups on every request.
 #[derive(Debug, Clone, Default)]
 pub struct RouteTable {
     by_prefix: FastMap<String, Vec<RouteTarget>>,
-    /// Prefixes of at-most-once routes by their loosest reading.
+    /// Prefixes of at-most-once routes by their loose form.
     at_most_once: FastMap<String, Vec<String>>,
     max_prefix_segments: usize,
 }
 
-/// Where a request belongs.
+/// The route that a request matches.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteTarget {
-    /// The service.
+    /// Service of the route.
     pub service: ServiceName,
-    /// Position in the service's routes.
+    /// Index in the service's list of routes.
     pub route_index: usize,
     /// Method of the route.
     pub method: Method,
-    /// Whether the request may be sent again; may be stricter than the route's own rule.
+    /// Whether the request may be retried; can be stricter than the route's own rule.
     pub repeat: RepeatRule,
 }
 
 impl SiteConfig {
-    /// Where a request belongs.
+    /// Finds the route of a request.
     ///
-    /// Builds an index each time: keep a [`RouteTable`] where many requests are routed.
+    /// Builds an index on each call: use a [`RouteTable`] to route many requests.
     pub fn route(&self, method: &str, path: &str) -> Option<RouteTarget> {
         RouteTable::new(self).find(method, path)
     }
 }
 
 impl RouteTable {
-    /// The index of a configuration.
+    /// Builds the index of a configuration.
     pub fn new(config: &SiteConfig) -> RouteTable {
         let mut table = RouteTable::default();
         for (name, service) in &config.services {
@@ -51,16 +50,16 @@
         table
     }
 
-    /// Where a request belongs; `path` comes without its query.
+    /// Finds the route of a request; `path` has no query.
     pub fn find(&self, method: &str, path: &str) -> Option<RouteTarget> {
         let path = path::normal_form(path)?;
-        let reading = path::loosest_reading(&path);
-        if path::has_dot_segment(&reading) {
+        let loose = path::loose_form(&path);
+        if path::has_dot_segment(&loose) {
             return None;
         }
         let (prefix, target) = self.longest_match(method, &path)?;
         let repeat = match target.repeat {
-            RepeatRule::Idempotent if self.is_at_most_once_for_some(method, &reading, prefix) => {
+            RepeatRule::Idempotent if self.may_match_at_most_once(method, &loose, prefix) => {
                 RepeatRule::AtMostOnce
             }
             repeat => repeat,
@@ -68,12 +67,12 @@
         Some(RouteTarget { repeat, ..target.clone() })
     }
 
-    /// A prefix in normal form, without its trailing `/`; `None` if it can be read in
-    /// several ways.
+    /// The prefix in normal form, without its trailing `/`; `None` if servers may interpret it
+    /// differently.
     pub(crate) fn normal_prefix(prefix: &str) -> Option<String> {
         let normal = path::normal_form(prefix)?;
         let normal = normal.strip_suffix('/').unwrap_or(&normal);
-        let is_plain = path::loosest_reading(normal) == normal.to_ascii_lowercase();
+        let is_plain = path::loose_form(normal) == normal.to_ascii_lowercase();
         is_plain.then(|| normal.to_owned())
     }
 
@@ -89,13 +88,14 @@
         matches.last()
     }
 
-    /// Whether an upstream that reads the path loosely could take it for a request of an
-    /// at-most-once route, although it matched the prefix.
+    /// Whether an upstream that normalizes the path further could match it to an at-most-once
+    /// route, although here it matched the prefix `matched`.
     ///
-    /// Prefixes have one reading but for case, so shorter ones lose in every reading.
-    fn is_at_most_once_for_some(&self, method: &str, reading: &str, matched: &str) -> bool {
-        let readings = self.prefixes_of(reading).filter(|prefix| prefix.len() >= matched.len());
-        let mut prefixes = readings.filter_map(|prefix| self.at_most_once.get(prefix)).flatten();
+    /// The loose form of a prefix differs from the prefix only in case, so shorter prefixes
+    /// lose to `matched` in either form.
+    fn may_match_at_most_once(&self, method: &str, loose: &str, matched: &str) -> bool {
+        let candidates = self.prefixes_of(loose).filter(|prefix| prefix.len() >= matched.len());
+        let mut prefixes = candidates.filter_map(|prefix| self.at_most_once.get(prefix)).flatten();
         prefixes.any(|prefix| self.is_at_most_once(method, prefix))
     }
 
@@ -104,7 +104,7 @@
         target.is_some_and(|target| target.repeat == RepeatRule::AtMostOnce)
     }
 
-    /// Prefixes of a path that may stand in the table, the shortest first.
+    /// Prefixes of a path that may be in the table, the shortest first.
     fn prefixes_of<'a>(&self, path: &'a str) -> impl Iterator<Item = &'a str> {
         let ends = segment_ends(path).take(self.max_prefix_segments);
         std::iter::once(0).chain(ends).map(|end| &path[..end])
@@ -112,7 +112,7 @@
 
     fn add_service(&mut self, name: &ServiceName, service: &Service) {
         for (route_index, route) in service.routes.iter().enumerate() {
-            // The check refuses other prefixes.
+            // Validation rejects other prefixes.
             let Some(prefix) = RouteTable::normal_prefix(&route.path_prefix) else { continue };
             let service = name.clone();
             let target =
@@ -125,26 +125,26 @@
         let segments = prefix.bytes().filter(|byte| *byte == b'/').count();
         self.max_prefix_segments = self.max_prefix_segments.max(segments);
         if target.repeat == RepeatRule::AtMostOnce {
-            let reading = path::loosest_reading(&prefix);
-            self.at_most_once.entry(reading).or_default().push(prefix.clone());
+            let loose = path::loose_form(&prefix);
+            self.at_most_once.entry(loose).or_default().push(prefix.clone());
         }
         self.by_prefix.entry(prefix).or_default().push(target);
     }
 }
 
-/// Ends of the segments, the first one's first.
+/// End offsets of the path's segments, in order.
 fn segment_ends(path: &str) -> impl Iterator<Item = usize> {
     let slashes = path.bytes().enumerate().skip(1).filter(|(_, byte)| *byte == b'/');
     slashes.map(|(end, _)| end).chain([path.len()])
 }
 
 fn best_method<'a>(targets: &'a [RouteTarget], method: &str) -> Option<&'a RouteTarget> {
-    let stated = targets.iter().find(|target| target.method.as_str() == method);
-    stated.or_else(|| targets.iter().find(|target| target.method == Method::Any))
+    let specific = targets.iter().find(|target| target.method.as_str() == method);
+    specific.or_else(|| targets.iter().find(|target| target.method == Method::Any))
 }
 
 impl Method {
-    /// The method as a request states it; `ANY` for every method.
+    /// The method as in a request line; `ANY` for [`Method::Any`].
     pub fn as_str(self) -> &'static str {
         match self {
             Method::Any => "ANY",
