--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -1,7 +1,7 @@
-//! What differs between two configurations.
+//! Differences between two configurations.
 //!
-//! Both are compared field by field in their JSON form, so that a new field of the
-//! model is never forgotten here.
+//! Both are compared as JSON, field by field, so that new fields of the model are compared
+//! without a change here.
 
 use crate::field_path::FieldPath;
 use crate::model::{SiteConfig, Upstream};
@@ -11,22 +11,22 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// One difference.
+/// One difference between two configurations.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(tag = "change", rename_all = "kebab-case")]
 pub enum Change {
     /// A field outside the services differs.
     SettingChanged {
-        /// What differs.
+        /// The field and its values.
         #[serde(flatten)]
         field: FieldChange,
     },
-    /// A service is new.
+    /// Only the second configuration has the service.
     ServiceAdded {
         /// The service.
         service: ServiceName,
     },
-    /// A service is gone.
+    /// Only the first configuration has the service.
     ServiceRemoved {
         /// The service.
         service: ServiceName,
@@ -35,18 +35,18 @@
     ServiceChanged {
         /// The service.
         service: ServiceName,
-        /// What differs, seen from the service.
+        /// The field, with its path from the service.
         #[serde(flatten)]
         field: FieldChange,
     },
-    /// An upstream is new.
+    /// Only the second configuration has the upstream.
     UpstreamAdded {
         /// Its service.
         service: ServiceName,
         /// The upstream.
         upstream: UpstreamId,
     },
-    /// An upstream is gone.
+    /// Only the first configuration has the upstream.
     UpstreamRemoved {
         /// Its service.
         service: ServiceName,
@@ -59,7 +59,7 @@
         service: ServiceName,
         /// The upstream.
         upstream: UpstreamId,
-        /// What differs, seen from the upstream.
+        /// The field, with its path from the upstream.
         #[serde(flatten)]
         field: FieldChange,
     },
@@ -68,7 +68,7 @@
 /// A field with different values.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct FieldChange {
-    /// Where.
+    /// Path of the field.
     pub field: FieldPath,
     /// Its value in the first configuration.
     pub from: Value,
@@ -76,28 +76,29 @@
     pub to: Value,
 }
 
-/// What differs from the first configuration to the second, in the order of the ids.
+/// Lists the differences between two configurations: settings first, then services and
+/// upstreams in the order of their ids.
 pub fn diff(from: &SiteConfig, to: &SiteConfig) -> Vec<Change> {
     let settings = field_changes(&without_services(from), &without_services(to));
     let mut changes: Vec<Change> =
         settings.into_iter().map(|field| Change::SettingChanged { field }).collect();
-    for (service, pair) in pairs(&from.services, &to.services) {
+    for (service, pair) in pair_by_id(&from.services, &to.services) {
         let service = service.clone();
         match pair {
             Pair::Removed => changes.push(Change::ServiceRemoved { service }),
             Pair::Added => changes.push(Change::ServiceAdded { service }),
             Pair::Both(from, to) => {
-                let mut bare = (from.clone(), to.clone());
-                bare.0.upstreams.clear();
-                bare.1.upstreams.clear();
-                let fields = field_changes(&bare.0, &bare.1);
+                let mut without_upstreams = (from.clone(), to.clone());
+                without_upstreams.0.upstreams.clear();
+                without_upstreams.1.upstreams.clear();
+                let fields = field_changes(&without_upstreams.0, &without_upstreams.1);
                 changes.extend(
                     fields
                         .into_iter()
                         .map(|field| Change::ServiceChanged { service: service.clone(), field }),
                 );
-                for (upstream, pair) in pairs(&from.upstreams, &to.upstreams) {
-                    upstream_changes(&service, upstream, pair, &mut changes);
+                for (upstream, pair) in pair_by_id(&from.upstreams, &to.upstreams) {
+                    push_upstream_changes(&service, upstream, pair, &mut changes);
                 }
             }
         }
@@ -105,7 +106,7 @@
     changes
 }
 
-fn upstream_changes(
+fn push_upstream_changes(
     service: &ServiceName,
     upstream: &UpstreamId,
     pair: Pair<'_, Upstream>,
@@ -131,14 +132,14 @@
     SiteConfig { services: BTreeMap::new(), ..config.clone() }
 }
 
-/// What stands under one id on the two sides.
+/// The entries of one id in the two maps.
 enum Pair<'a, T> {
     Removed,
     Added,
     Both(&'a T, &'a T),
 }
 
-fn pairs<'a, K: Ord, T>(
+fn pair_by_id<'a, K: Ord, T>(
     from: &'a BTreeMap<K, T>,
     to: &'a BTreeMap<K, T>,
 ) -> BTreeMap<&'a K, Pair<'a, T>> {
@@ -154,28 +155,28 @@
     pairs
 }
 
-/// Fields of two values of one type that differ.
+/// Lists the fields in which two values differ.
 fn field_changes<T: Serialize>(from: &T, to: &T) -> Vec<FieldChange> {
     let mut changes = Vec::new();
-    let (from, to) = (json(from), json(to));
+    let (from, to) = (to_json(from), to_json(to));
     compare(&FieldPath::root(), &from, &to, &mut changes);
     changes
 }
 
-fn json<T: Serialize>(value: &T) -> Value {
+fn to_json<T: Serialize>(value: &T) -> Value {
     serde_json::to_value(value).unwrap_or_default()
 }
 
-fn compare(place: &FieldPath, from: &Value, to: &Value, changes: &mut Vec<FieldChange>) {
+fn compare(path: &FieldPath, from: &Value, to: &Value, changes: &mut Vec<FieldChange>) {
     match (from, to) {
         (Value::Object(old), Value::Object(new)) => {
             for (name, to) in new {
                 let from = old.get(name).unwrap_or(&Value::Null);
-                compare(&place.field(name), from, to, changes);
+                compare(&path.field(name), from, to, changes);
             }
         }
         _ if from == to => {}
-        _ => changes.push(FieldChange { field: place.clone(), from: from.clone(), to: to.clone() }),
+        _ => changes.push(FieldChange { field: path.clone(), from: from.clone(), to: to.clone() }),
     }
 }
 
