--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -1,70 +1,70 @@
-//! What is wrong with a configuration, and how to mend it.
+//! Validation errors of a configuration.
 //!
-//! A problem names the file, the field, the value and the remedy. All problems of a
-//! configuration are collected, so that operators don't mend them one run at a time.
+//! A problem names the document, the field, the value and a remedy. All problems of a
+//! configuration are collected, so that operators can fix them in one go.
 
 use crate::field_path::FieldPath;
 use serde::Serialize;
 use serde_json::Value;
 use std::fmt;
 
-/// Problems reported at most: an entry host must not work on a bad text for long.
+/// Most problems that are reported: bounds the time that a host spends on an invalid text.
 pub const MAX_PROBLEMS: usize = 100;
 
-/// Longest value that a message shows, in characters.
-const MAX_SHOWN_CHARS: usize = 80;
+/// Longest value that a message includes, in characters.
+const MAX_VALUE_CHARS: usize = 80;
 
-/// A configuration that can't be put in force.
+/// The problems of an invalid configuration.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ConfigError {
-    /// All that is wrong: at least one, at most [`MAX_PROBLEMS`] of each document.
+    /// At least one problem, and at most [`MAX_PROBLEMS`] for each document.
     pub problems: Vec<Problem>,
 }
 
-/// One thing that is wrong.
+/// One problem of a configuration.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Problem {
-    /// Which document states it.
+    /// Document that contains the problem.
     pub source: Source,
-    /// Where in the document.
+    /// Path of the field.
     pub field: FieldPath,
-    /// What is wrong.
+    /// Kind of the problem.
     pub kind: ProblemKind,
-    /// The value found there, if any.
+    /// Value of the field, if any.
     pub value: Option<Value>,
-    /// What the operator can do.
+    /// How the operator can fix it.
     pub remedy: String,
 }
 
-/// The document that a problem stands in.
+/// The document that contains a problem.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Source {
-    /// The base of all sites.
+    /// The base that all sites share.
     Base,
     /// The site's overlay.
     Overlay,
-    /// Only the merged whole: several fields together, or a default.
+    /// Only the merged configuration: the problem involves several fields, or a default.
     Merged,
 }
 
-/// What is wrong.
+/// Kind of a problem.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ProblemKind {
-    /// The text is longer than the configuration service holds.
+    /// The text is longer than the configuration service stores.
     TooLarge,
-    /// The text is no JSON; says where.
+    /// The text isn't valid JSON; holds the parser's message.
     Syntax(String),
-    /// An object states the same key twice.
+    /// An object has the same key twice.
     DuplicateKey,
-    /// The document is no JSON object.
+    /// The document isn't a JSON object.
     NotAnObject,
-    /// No such field.
+    /// The model has no such field.
     UnknownField,
-    /// A needed field is absent.
+    /// A required field is absent.
     MissingField,
-    /// The value has the wrong type, or is no value of its type; says what was expected.
+    /// The value has the wrong type or isn't valid for its type; holds the deserializer's message.
     WrongValue(String),
     /// The site has no availability zone.
     NoZone,
@@ -80,30 +80,30 @@
     Zero,
     /// Fewer connections than slots.
     FewerConnectionsThanSlots,
-    /// A share is not within 0 and 1.
+    /// A share isn't between 0 and 1.
     ShareOutOfRange,
     /// A rate is negative or not finite.
     BadRate,
     /// A size is above its limit.
     AboveLimit,
-    /// A service may probe more than all services together.
+    /// The probe rate of a service is above that of all services together.
     ProbesAboveBudget,
     /// The service has no route.
     NoRoute,
     /// The service has no upstream.
     NoUpstream,
-    /// The path prefix can match no path.
+    /// The path prefix can't match any path, or is ambiguous.
     BadPathPrefix,
     /// Another route has the same method and path prefix.
     AmbiguousRoute,
-    /// The overlay states what the base already says.
+    /// The overlay sets a field to the value that it has in the base.
     Restated,
-    /// The overlay removes what the base doesn't have.
+    /// The overlay removes a field that the base doesn't have.
     RemovesNothing,
 }
 
 impl ProblemKind {
-    /// Whether the problem lies between several fields.
+    /// Whether the problem involves several fields, which may be in different documents.
     pub(crate) fn spans_fields(&self) -> bool {
         matches!(
             self,
@@ -129,11 +129,13 @@
 impl std::error::Error for ConfigError {}
 
 impl Problem {
-    /// The problem in one line, under the document's name.
+    /// Formats the problem in one line that begins with the document's name.
     pub fn describe(&self, document: &str) -> String {
         let Problem { field, kind, remedy, .. } = self;
         match &self.value {
-            Some(value) => format!("{document}: {field}: {kind}, found {}: {remedy}", Shown(value)),
+            Some(value) => {
+                format!("{document}: {field}: {kind}, found {}: {remedy}", TruncatedValue(value))
+            }
             None => format!("{document}: {field}: {kind}: {remedy}"),
         }
     }
@@ -186,13 +188,13 @@
     }
 }
 
-/// A value cut to a readable length.
-struct Shown<'a>(&'a Value);
+/// Displays a value, truncated to [`MAX_VALUE_CHARS`].
+struct TruncatedValue<'a>(&'a Value);
 
-impl fmt::Display for Shown<'_> {
+impl fmt::Display for TruncatedValue<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = self.0.to_string();
-        match text.char_indices().nth(MAX_SHOWN_CHARS) {
+        match text.char_indices().nth(MAX_VALUE_CHARS) {
             Some((end, _)) => write!(f, "{}...", &text[..end]),
             None => f.write_str(&text),
         }
