--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,7 +1,7 @@
-//! The rules that a whole configuration keeps.
+//! Validation of a merged configuration.
 //!
-//! Types alone can't state them: most lie between several fields. Each rule notes a
-//! problem and goes on, so that one run finds all.
+//! Checks the rules that types can't express, most of which involve several fields. Each
+//! check reports its problems and continues, so that one run finds them all.
 
 use crate::field_path::FieldPath;
 use crate::model::{
@@ -16,11 +16,13 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Largest answer that may be held: one is held for each call in progress.
+/// Upper limit of `limits.held_answer_bytes`: one response may be buffered for each request in
+/// progress.
 pub const MAX_HELD_ANSWER_BYTES: ByteCount = ByteCount(1 << 20);
 
 impl SiteConfig {
-    /// Broken rules, at most [`MAX_PROBLEMS`]; none if the configuration may be put in force.
+    /// Validates the configuration and returns at most [`MAX_PROBLEMS`] problems; empty if it is
+    /// valid.
     pub fn check(&self) -> Vec<Problem> {
         let mut report = Report::default();
         check_zones(&mut report, &self.availability_zones);
@@ -30,8 +32,8 @@
         check_hedge(&mut report, &self.hedge);
         let zones = self.availability_zones.iter().collect();
         for (name, service) in &self.services {
-            let place = FieldPath::of(["services", name.as_str()]);
-            check_service(&mut report, &place, service, self);
+            let field_path = FieldPath::of(["services", name.as_str()]);
+            check_service(&mut report, &field_path, service, self);
             for (id, upstream) in &service.upstreams {
                 check_upstream(&mut report, (name, id), upstream, &zones);
             }
@@ -43,15 +45,15 @@
 }
 
 fn check_zones(report: &mut Report, zones: &[ZoneName]) {
-    let place = FieldPath::of(["availability_zones"]);
+    let field_path = FieldPath::of(["availability_zones"]);
     if zones.is_empty() {
-        report.note(place.clone(), ProblemKind::NoZone, "list the site's availability zones");
+        report.add(field_path.clone(), ProblemKind::NoZone, "list the site's availability zones");
     }
     let mut seen = FastSet::default();
     for (index, zone) in zones.iter().enumerate() {
         if !seen.insert(zone) {
-            report.note(
-                place.index(index),
+            report.add(
+                field_path.index(index),
                 ProblemKind::DuplicateZone,
                 "list each availability zone once",
             );
@@ -60,13 +62,13 @@
 }
 
 fn check_limits(report: &mut Report, limits: &HostLimits) {
-    let place = FieldPath::of(["limits"]);
-    report.not_zero(place.field("max_body_bytes"), limits.max_body_bytes.0);
-    report.not_zero(place.field("max_calls"), limits.max_calls);
-    report.not_zero(place.field("max_depth"), limits.max_depth);
+    let field_path = FieldPath::of(["limits"]);
+    report.require_nonzero(field_path.field("max_body_bytes"), limits.max_body_bytes.0);
+    report.require_nonzero(field_path.field("max_calls"), limits.max_calls);
+    report.require_nonzero(field_path.field("max_depth"), limits.max_depth);
     if limits.held_answer_bytes > MAX_HELD_ANSWER_BYTES {
-        report.note(
-            place.field("held_answer_bytes"),
+        report.add(
+            field_path.field("held_answer_bytes"),
             ProblemKind::AboveLimit,
             format!("hold at most {MAX_HELD_ANSWER_BYTES} bytes; larger answers stream"),
         );
@@ -74,60 +76,67 @@
 }
 
 fn check_measurement(report: &mut Report, measurement: &MeasurementBudget) {
-    let place = FieldPath::of(["measurement"]);
-    report.rate(place.field("probes_per_second"), measurement.probes_per_second);
-    report
-        .not_zero(place.field("control_bytes_per_second"), measurement.control_bytes_per_second.0);
+    let field_path = FieldPath::of(["measurement"]);
+    report.require_rate(field_path.field("probes_per_second"), measurement.probes_per_second);
+    report.require_nonzero(
+        field_path.field("control_bytes_per_second"),
+        measurement.control_bytes_per_second.0,
+    );
 }
 
 fn check_retry(report: &mut Report, retry: &RetrySettings) {
-    let place = FieldPath::of(["retry"]);
-    report.not_zero(place.field("max_attempts"), retry.max_attempts);
-    report.share(place.field("budget_share"), retry.budget_share);
+    let field_path = FieldPath::of(["retry"]);
+    report.require_nonzero(field_path.field("max_attempts"), retry.max_attempts);
+    report.require_share(field_path.field("budget_share"), retry.budget_share);
 }
 
 fn check_hedge(report: &mut Report, hedge: &HedgeSettings) {
-    let place = FieldPath::of(["hedge"]);
-    report.share(place.field("budget_share"), hedge.budget_share);
-    report.share(place.field("after_quantile"), hedge.after_quantile);
+    let field_path = FieldPath::of(["hedge"]);
+    report.require_share(field_path.field("budget_share"), hedge.budget_share);
+    report.require_share(field_path.field("after_quantile"), hedge.after_quantile);
 }
 
-fn check_service(report: &mut Report, place: &FieldPath, service: &Service, site: &SiteConfig) {
+fn check_service(
+    report: &mut Report,
+    field_path: &FieldPath,
+    service: &Service,
+    site: &SiteConfig,
+) {
     if service.routes.is_empty() {
         let remedy = "add a route, or remove the service";
-        report.note(place.field("routes"), ProblemKind::NoRoute, remedy);
+        report.add(field_path.field("routes"), ProblemKind::NoRoute, remedy);
     }
     if service.upstreams.is_empty() {
         let remedy = "add an upstream, or remove the service";
-        report.note(place.field("upstreams"), ProblemKind::NoUpstream, remedy);
+        report.add(field_path.field("upstreams"), ProblemKind::NoUpstream, remedy);
     }
     for (index, route) in service.routes.iter().enumerate() {
-        check_prefix(report, place.field("routes").index(index), route);
+        check_prefix(report, field_path.field("routes").index(index), route);
     }
-    report.not_zero(place.field("deadline_ms"), service.deadline_ms.0);
-    report.share(place.field("eject_floor_share"), service.eject_floor_share);
-    check_service_probes(report, place.field("probes_per_second"), service, site);
+    report.require_nonzero(field_path.field("deadline_ms"), service.deadline_ms.0);
+    report.require_share(field_path.field("eject_floor_share"), service.eject_floor_share);
+    check_service_probes(report, field_path.field("probes_per_second"), service, site);
 }
 
 fn check_service_probes(
     report: &mut Report,
-    place: FieldPath,
+    field_path: FieldPath,
     service: &Service,
     site: &SiteConfig,
 ) {
-    let all = site.measurement.probes_per_second;
-    report.rate(place.clone(), service.probes_per_second);
-    if service.probes_per_second > all {
-        report.note_value(
-            place,
+    let site_rate = site.measurement.probes_per_second;
+    report.require_rate(field_path.clone(), service.probes_per_second);
+    if service.probes_per_second > site_rate {
+        report.add_with_value(
+            field_path,
             ProblemKind::ProbesAboveBudget,
             service.probes_per_second,
-            format!("stay within measurement.probes_per_second, {all}, or raise that"),
+            format!("stay within measurement.probes_per_second, {site_rate}, or raise that"),
         );
     }
 }
 
-fn check_prefix(report: &mut Report, place: FieldPath, route: &Route) {
+fn check_prefix(report: &mut Report, field_path: FieldPath, route: &Route) {
     let prefix = route.path_prefix.as_str();
     let remedy = match RouteTable::normal_prefix(prefix) {
         _ if !prefix.starts_with('/') => "begin it with '/'",
@@ -142,7 +151,7 @@
              in several ways"
         }
     };
-    report.note(place.field("path_prefix"), ProblemKind::BadPathPrefix, remedy);
+    report.add(field_path.field("path_prefix"), ProblemKind::BadPathPrefix, remedy);
 }
 
 fn check_upstream(
@@ -151,19 +160,19 @@
     upstream: &Upstream,
     zones: &FastSet<&ZoneName>,
 ) {
-    // Built only where something is wrong: there are thousands of upstreams.
-    let place = |field| upstream_place(service, id).field(field);
+    // A closure, as paths are needed only for problems and there are thousands of upstreams.
+    let path_of = |field| upstream_path(service, id).field(field);
     if upstream.slots.0 == 0 {
         let remedy = "give it at least 1 slot, or set \"leaving\": true to keep work away";
-        report.note(place("slots"), ProblemKind::Zero, remedy);
+        report.add(path_of("slots"), ProblemKind::Zero, remedy);
     }
     match upstream.connections {
         connections if connections.0 == 0 => {
             let remedy = "state how many connections it accepts, at least its slots";
-            report.note(place("connections"), ProblemKind::Zero, remedy);
+            report.add(path_of("connections"), ProblemKind::Zero, remedy);
         }
-        connections if connections.0 < upstream.slots.0 => report.note_value(
-            place("connections"),
+        connections if connections.0 < upstream.slots.0 => report.add_with_value(
+            path_of("connections"),
             ProblemKind::FewerConnectionsThanSlots,
             connections,
             format!("each slot needs a connection: state at least {}", upstream.slots),
@@ -171,8 +180,8 @@
         _ => {}
     }
     if !zones.contains(&upstream.availability_zone) {
-        report.note_value(
-            place("availability_zone"),
+        report.add_with_value(
+            path_of("availability_zone"),
             ProblemKind::UnknownZone,
             &upstream.availability_zone,
             "use one of availability_zones, or list it there",
@@ -180,7 +189,7 @@
     }
     if upstream.address.port() == 0 || upstream.address.ip().is_unspecified() {
         let remedy = "state the IP address and port that it listens on";
-        report.note(place("address"), ProblemKind::UnusableAddress, remedy);
+        report.add(path_of("address"), ProblemKind::UnusableAddress, remedy);
     }
 }
 
@@ -191,20 +200,20 @@
             let Some((other_name, other_id)) = owners.insert(upstream.address, (name, id)) else {
                 continue;
             };
-            report.note_value(
-                upstream_place(name, id).field("address"),
+            report.add_with_value(
+                upstream_path(name, id).field("address"),
                 ProblemKind::DuplicateAddress,
                 upstream.address,
                 format!(
                     "{} has it too: slots are counted per address, give each its own",
-                    upstream_place(other_name, other_id),
+                    upstream_path(other_name, other_id),
                 ),
             );
         }
     }
 }
 
-fn upstream_place(service: &ServiceName, upstream: &UpstreamId) -> FieldPath {
+fn upstream_path(service: &ServiceName, upstream: &UpstreamId) -> FieldPath {
     FieldPath::of(["services", service.as_str(), "upstreams", upstream.as_str()])
 }
 
@@ -215,13 +224,13 @@
             let Some(prefix) = RouteTable::normal_prefix(&route.path_prefix) else { continue };
             let key = (prefix, route.method.as_str());
             match owners.get(&key) {
-                Some(&(owner, owner_index)) => report.note_value(
-                    route_place(name, index),
+                Some(&(owner, owner_index)) => report.add_with_value(
+                    route_path(name, index),
                     ProblemKind::AmbiguousRoute,
                     route,
                     format!(
                         "{} has the same method and path prefix: keep one of them",
-                        route_place(owner, owner_index),
+                        route_path(owner, owner_index),
                     ),
                 ),
                 None => drop(owners.insert(key, (name, index))),
@@ -230,22 +239,22 @@
     }
 }
 
-fn route_place(service: &ServiceName, index: usize) -> FieldPath {
+fn route_path(service: &ServiceName, index: usize) -> FieldPath {
     FieldPath::of(["services", service.as_str(), "routes"]).index(index)
 }
 
-/// Problems found so far.
+/// Collects the problems found so far.
 #[derive(Debug, Default)]
 struct Report {
     problems: Vec<Problem>,
 }
 
 impl Report {
-    fn note(&mut self, field: FieldPath, kind: ProblemKind, remedy: impl Into<String>) {
-        self.note_value(field, kind, Value::Null, remedy);
+    fn add(&mut self, field: FieldPath, kind: ProblemKind, remedy: impl Into<String>) {
+        self.add_with_value(field, kind, Value::Null, remedy);
     }
 
-    fn note_value(
+    fn add_with_value(
         &mut self,
         field: FieldPath,
         kind: ProblemKind,
@@ -260,23 +269,23 @@
         self.problems.push(Problem { source: Source::Merged, field, kind, value, remedy });
     }
 
-    fn not_zero(&mut self, field: FieldPath, value: impl Into<u64>) {
+    fn require_nonzero(&mut self, field: FieldPath, value: impl Into<u64>) {
         if value.into() == 0 {
-            self.note_value(field, ProblemKind::Zero, 0, "state at least 1");
+            self.add_with_value(field, ProblemKind::Zero, 0, "state at least 1");
         }
     }
 
-    fn share(&mut self, field: FieldPath, share: Share) {
+    fn require_share(&mut self, field: FieldPath, share: Share) {
         if !(0.0..=1.0).contains(&share.0) {
             let remedy = "state a share between 0 and 1, such as 0.1 for a tenth";
-            self.note_value(field, ProblemKind::ShareOutOfRange, share, remedy);
+            self.add_with_value(field, ProblemKind::ShareOutOfRange, share, remedy);
         }
     }
 
-    fn rate(&mut self, field: FieldPath, rate: PerSecond) {
+    fn require_rate(&mut self, field: FieldPath, rate: PerSecond) {
         if !rate.0.is_finite() || rate.0 < 0.0 {
             let remedy = "state a rate of 0 or more a second";
-            self.note_value(field, ProblemKind::BadRate, rate, remedy);
+            self.add_with_value(field, ProblemKind::BadRate, rate, remedy);
         }
     }
 }
