--- a/crates/config/tests/merge.rs
+++ b/crates/config/tests/merge.rs
@@ -1,4 +1,4 @@
-//! What the merge takes and what it refuses, by table.
+//! Configurations that `merge` accepts or rejects, and the problems and warnings reported.
 #![allow(clippy::unwrap_used)]
 
 use config::{MAX_PROBLEMS, MAX_TEXT_BYTES, Problem, merge, merge_with_warnings};
@@ -33,31 +33,31 @@
     }
 }"#;
 
-/// Each problem without value and remedy, which must be there.
-fn shorten(problems: &[Problem]) -> Vec<String> {
-    let short = |problem: &Problem| {
+/// Formats each problem without its value and remedy, and checks that it has a remedy.
+fn summarize(problems: &[Problem]) -> Vec<String> {
+    let summary = |problem: &Problem| {
         assert!(!problem.remedy.is_empty(), "{problem:?}");
         format!("{} {} {}", problem.source, problem.field, problem.kind)
     };
-    problems.iter().map(short).collect()
+    problems.iter().map(summary).collect()
 }
 
-fn check_both_ways_agree(base: &str, overlay: Option<&str>) {
-    let whole = merge_with_warnings(base, overlay).map(|merged| merged.config);
-    assert_eq!(merge(base, overlay), whole, "short and long way differ");
+fn check_fast_path_agrees(base: &str, overlay: Option<&str>) {
+    let full = merge_with_warnings(base, overlay).map(|merged| merged.config);
+    assert_eq!(merge(base, overlay), full, "fast and full path differ");
 }
 
 fn check(base: &str, overlay: Option<&str>, expected: &[&str]) {
-    check_both_ways_agree(base, overlay);
+    check_fast_path_agrees(base, overlay);
     let found = match merge(base, overlay) {
         Ok(_) => Vec::new(),
-        Err(error) => shorten(&error.problems),
+        Err(error) => summarize(&error.problems),
     };
     assert_eq!(found, expected);
 }
 
 #[rstest]
-#[case::nothing("{}", &[])]
+#[case::empty_overlay("{}", &[])]
 #[case::one_field(r#"{"services": {"portal": {"upstreams": {"portal-1": {"slots": 5}}}}}"#, &[])]
 #[case::removal(r#"{"services": {"parts": null}}"#, &[])]
 #[case::new_upstream(
@@ -65,7 +65,7 @@
         "availability_zone": "msasani", "slots": 1, "connections": 1, "leaving": true}}}}}"#,
     &[]
 )]
-#[case::no_object("[]", &["overlay (whole document) not an object"])]
+#[case::not_an_object("[]", &["overlay (whole document) not an object"])]
 #[case::zero_slots(
     r#"{"services": {"portal": {"upstreams": {"portal-1": {"slots": 0}}}}}"#,
     &["overlay services.portal.upstreams.portal-1.slots must not be zero"]
@@ -74,7 +74,7 @@
     r#"{"services": {"portal": {"upstreams": {"portal-1": {"connections": 0}}}}}"#,
     &["overlay services.portal.upstreams.portal-1.connections must not be zero"]
 )]
-#[case::few_connections(
+#[case::fewer_connections_than_slots(
     r#"{"services": {"portal": {"upstreams": {"portal-1": {"slots": 251}}}}}"#,
     &["merged services.portal.upstreams.portal-1.connections fewer connections than slots"]
 )]
@@ -123,15 +123,15 @@
     r#"{"services": {"portal": {"routes": [{"path_prefix": "portal", "repeat": "idempotent"}]}}}"#,
     &["overlay services.portal.routes[0].path_prefix bad path prefix"]
 )]
-#[case::dot_segment(
+#[case::dot_segment_in_prefix(
     r#"{"services": {"portal": {"routes": [{"path_prefix": "/a/%2E./b", "repeat": "idempotent"}]}}}"#,
     &["overlay services.portal.routes[0].path_prefix bad path prefix"]
 )]
-#[case::empty_segment(
+#[case::empty_segment_in_prefix(
     r#"{"services": {"portal": {"routes": [{"path_prefix": "/a//b", "repeat": "idempotent"}]}}}"#,
     &["overlay services.portal.routes[0].path_prefix bad path prefix"]
 )]
-#[case::query(
+#[case::query_in_prefix(
     r#"{"services": {"portal": {"routes": [{"path_prefix": "/a?b", "repeat": "idempotent"}]}}}"#,
     &["overlay services.portal.routes[0].path_prefix bad path prefix"]
 )]
@@ -140,13 +140,13 @@
         {"method": "POST", "path_prefix": "/parts/", "repeat": "idempotent"}]}}}"#,
     &["merged services.portal.routes[0] ambiguous route"]
 )]
-#[case::share(
+#[case::share_out_of_range(
     r#"{"retry": {"budget_share": 1.5}, "hedge": {"budget_share": -0.1, "after_quantile": 2}}"#,
     &["overlay retry.budget_share share out of range",
       "overlay hedge.budget_share share out of range",
       "overlay hedge.after_quantile share out of range"]
 )]
-#[case::service_share(
+#[case::service_share_out_of_range(
     r#"{"services": {"parts": {"eject_floor_share": 50}}}"#,
     &["overlay services.parts.eject_floor_share share out of range"]
 )]
@@ -180,7 +180,7 @@
       "overlay limits.max_depth must not be zero",
       "overlay measurement.control_bytes_per_second must not be zero"]
 )]
-#[case::held_answer(
+#[case::held_answer_above_limit(
     r#"{"limits": {"held_answer_bytes": 1048577}}"#,
     &["overlay limits.held_answer_bytes above the limit"]
 )]
@@ -190,12 +190,12 @@
     &["overlay polcy unknown field", "overlay services.parts.deadline unknown field",
       "overlay services.parts.upstreams.parts-1.slot unknown field"]
 )]
-#[case::removed_needed_field(
+#[case::removed_required_field(
     r#"{"services": {"portal": {"upstreams": {"portal-1": {"slots": null}}}}}"#,
     &["overlay services.portal.upstreams.portal-1.slots missing field"]
 )]
 #[case::no_services(r#"{"services": null}"#, &["overlay services missing field"])]
-fn overlay_is_checked_with_the_whole(#[case] overlay: &str, #[case] expected: &[&str]) {
+fn merged_configuration_is_validated(#[case] overlay: &str, #[case] expected: &[&str]) {
     check(BASE, Some(overlay), expected);
 }
 
@@ -218,9 +218,9 @@
 )]
 #[case::id_with_space(r#"{"services": {"a b": {}}}"#, r#"services."a b""#)]
 #[case::empty_zone(r#"{"availability_zones": ["kariakoo", ""]}"#, "availability_zones[1]")]
-fn wrong_value_is_named(#[case] overlay: &str, #[case] field: &str) {
+fn wrong_value_is_reported_with_its_field(#[case] overlay: &str, #[case] field: &str) {
     let error = merge(BASE, Some(overlay)).unwrap_err();
-    let found = shorten(&error.problems);
+    let found = summarize(&error.problems);
     assert!(found[0].starts_with(&format!("overlay {field} wrong value")), "{found:?}");
     assert_eq!(found.len(), 1, "{found:?}");
 }
@@ -239,14 +239,14 @@
     r#"{"services": {"parts": {"routes": [{}, {"method": "GET", "method": "GET"}]}}}"#,
     "overlay services.parts.routes[1].method key stated twice"
 )]
-fn bad_text_is_refused(#[case] overlay: &str, #[case] expected: &str) {
+fn invalid_json_is_rejected(#[case] overlay: &str, #[case] expected: &str) {
     let error = merge(BASE, Some(overlay)).unwrap_err();
-    let found = shorten(&error.problems);
+    let found = summarize(&error.problems);
     assert!(found[0].starts_with(expected), "{found:?}");
 }
 
 #[test]
-fn every_truncation_is_refused() {
+fn every_truncated_text_is_rejected() {
     for end in 0..BASE.len() {
         assert!(merge(&BASE[..end], None).is_err(), "cut at {end}");
     }
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn message_names_file_field_value_and_remedy() {
+fn message_names_document_field_value_and_remedy() {
     let overlay = r#"{"services": {"portal": {"upstreams": {"portal-1": {"slots": 0}}}}}"#;
     let error = merge(BASE, Some(overlay)).unwrap_err();
     let expected = "overlay: services.portal.upstreams.portal-1.slots: must not be zero, \
@@ -304,8 +304,8 @@
     r#"{"services": {"ghost": null}}"#,
     &["overlay services.ghost the base has no such field"]
 )]
-fn overlay_states_only_differences(#[case] overlay: &str, #[case] expected: &[&str]) {
-    check_both_ways_agree(BASE, Some(overlay));
+fn redundant_overlay_fields_cause_warnings(#[case] overlay: &str, #[case] expected: &[&str]) {
+    check_fast_path_agrees(BASE, Some(overlay));
     let merged = merge_with_warnings(BASE, Some(overlay)).unwrap();
-    assert_eq!(shorten(&merged.warnings), expected);
+    assert_eq!(summarize(&merged.warnings), expected);
 }
