--- a/crates/config/tests/diff.rs
+++ b/crates/config/tests/diff.rs
@@ -1,4 +1,4 @@
-//! Differences between two configurations, by table.
+//! Differences that an overlay makes to a configuration.
 #![allow(clippy::unwrap_used)]
 
 use config::{diff, merge};
@@ -14,7 +14,7 @@
 }"#;
 
 #[rstest]
-#[case::nothing("{}", &[])]
+#[case::empty_overlay("{}", &[])]
 #[case::setting(r#"{"retry": {"max_attempts": 2}}"#, &["setting retry.max_attempts: 3 -> 2"])]
 #[case::service_field(
     r#"{"services": {"portal": {"deadline_ms": 500}}}"#,
@@ -35,7 +35,7 @@
         "slots": 6, "connections": 250}}}}}"#,
     &["service parts added"]
 )]
-fn overlay_makes_changes(#[case] overlay: &str, #[case] expected: &[&str]) {
+fn diff_lists_changes_of_overlay(#[case] overlay: &str, #[case] expected: &[&str]) {
     let from = merge(BASE, None).unwrap();
     let to = merge(BASE, Some(overlay)).unwrap();
     let changes: Vec<String> = diff(&from, &to).iter().map(|change| change.to_string()).collect();
--- a/crates/config/tests/route.rs
+++ b/crates/config/tests/route.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes, by table.
+//! Which route a request matches, and whether it may be retried.
 #![allow(clippy::unwrap_used)]
 
 use config::RepeatRule::{self, AtMostOnce, Idempotent};
@@ -32,15 +32,15 @@
 #[case::exact("GET", "/portal", Some(("portal", 0)))]
 #[case::below("GET", "/portal/x/y", Some(("portal", 0)))]
 #[case::trailing_slash("GET", "/portal/", Some(("portal", 0)))]
-#[case::segment_border("GET", "/portals", Some(("root", 0)))]
+#[case::segment_boundary("GET", "/portals", Some(("root", 0)))]
 #[case::root("GET", "/", Some(("root", 0)))]
-#[case::stated_method_wins("POST", "/portal/x", Some(("portal", 1)))]
+#[case::specific_method_wins("POST", "/portal/x", Some(("portal", 1)))]
 #[case::longest_prefix_wins("POST", "/portal/orders/7", Some(("orders", 0)))]
 #[case::prefix_with_trailing_slash("POST", "/portal/orders", Some(("orders", 0)))]
 #[case::longest_of_matching_methods("GET", "/portal/orders/7", Some(("portal", 0)))]
 #[case::unknown_method("PURGE", "/portal", Some(("portal", 0)))]
 #[case::method_is_case_sensitive("post", "/portal", Some(("portal", 0)))]
-#[case::method_any_is_no_name("ANY", "/portal", Some(("portal", 0)))]
+#[case::any_is_not_a_method("ANY", "/portal", Some(("portal", 0)))]
 #[case::empty_first_segment("GET", "//portal", Some(("root", 0)))]
 #[case::empty_inner_segment("POST", "/portal//orders", Some(("portal", 1)))]
 #[case::encoded_letter("POST", "/portal/%6Frders", Some(("orders", 0)))]
@@ -48,9 +48,9 @@
 #[case::letters_beyond_ascii("GET", "/portal/caf%c3%A9", Some(("portal", 0)))]
 #[case::encoded_slash_is_literal("GET", "/portal%2Forders", Some(("root", 0)))]
 #[case::encoded_reserved_is_literal("GET", "/portal%24", Some(("root", 0)))]
-#[case::cut_encoding("GET", "/portal/%", None)]
-#[case::cut_encoding_digit("GET", "/portal/%4", None)]
-#[case::no_hexadecimal("GET", "/portal/%zz", None)]
+#[case::truncated_encoding("GET", "/portal/%", None)]
+#[case::truncated_encoding_digit("GET", "/portal/%4", None)]
+#[case::not_hexadecimal("GET", "/portal/%zz", None)]
 #[case::signed_hexadecimal("GET", "/portal/%+1", None)]
 #[case::encoded_control("GET", "/portal/%00", None)]
 #[case::overlong_encoding("GET", "/portal%c0%afx", None)]
@@ -69,7 +69,7 @@
 #[case::empty("GET", "", None)]
 #[case::asterisk("OPTIONS", "*", None)]
 #[case::relative("GET", "portal", None)]
-fn request_takes_route(
+fn request_matches_route(
     #[case] method: &str,
     #[case] path: &str,
     #[case] expected: Option<(&str, usize)>,
@@ -82,8 +82,8 @@
     assert_eq!(site.route(method, path), found);
 }
 
-/// Routes of one service.
-fn service_with(routes: &[(&str, &str, RepeatRule)]) -> RouteTable {
+/// Builds the table of one service with these routes.
+fn table_with(routes: &[(&str, &str, RepeatRule)]) -> RouteTable {
     let routes = routes.iter().map(|(method, path_prefix, repeat)| {
         json!({"method": method, "path_prefix": path_prefix, "repeat": repeat})
     });
@@ -94,7 +94,7 @@
     RouteTable::new(&merge(&text.to_string(), None).unwrap())
 }
 
-/// Whatever an upstream may read as an at-most-once path runs at most once.
+/// A path that an upstream could match to an at-most-once route runs at most once.
 #[rstest]
 #[case::plain("GET", "/orders", AtMostOnce)]
 #[case::elsewhere("GET", "/offers", Idempotent)]
@@ -120,16 +120,16 @@
 #[case::idempotent_below("GET", "/orders/status/7", Idempotent)]
 #[case::idempotent_below_upper_case("GET", "/orders/status/A%20B", Idempotent)]
 #[case::idempotent_below_empty_segment("GET", "//orders/status", AtMostOnce)]
-#[case::stated_method("GET", "/drafts", Idempotent)]
-#[case::stated_method_read_loosely("GET", "//drafts", Idempotent)]
-#[case::any_method_read_loosely("POST", "//drafts", AtMostOnce)]
-#[case::case_tells_routes_apart("GET", "/Notes", AtMostOnce)]
-fn loose_readings_keep_the_stricter_rule(
+#[case::specific_method("GET", "/drafts", Idempotent)]
+#[case::specific_method_loose_path("GET", "//drafts", Idempotent)]
+#[case::any_method_loose_path("POST", "//drafts", AtMostOnce)]
+#[case::routes_differ_only_in_case("GET", "/Notes", AtMostOnce)]
+fn stricter_rule_applies_to_loosely_matching_paths(
     #[case] method: &str,
     #[case] path: &str,
     #[case] expected: RepeatRule,
 ) {
-    let table = service_with(&[
+    let table = table_with(&[
         ("ANY", "/", Idempotent),
         ("ANY", "/orders", AtMostOnce),
         ("ANY", "/orders/status", Idempotent),
@@ -144,12 +144,12 @@
 
 #[test]
 fn encoded_prefix_matches_plain_path() {
-    let table = service_with(&[("ANY", "/%6Frders", AtMostOnce)]);
+    let table = table_with(&[("ANY", "/%6Frders", AtMostOnce)]);
     assert!(table.find("GET", "/orders/7").is_some());
 }
 
 #[test]
-fn without_root_route_nothing_matches_by_default() {
+fn path_outside_all_prefixes_matches_no_route() {
     let mut site = site();
     site.services.retain(|name, _| name.as_str() != "root");
     assert!(site.route("GET", "/elsewhere").is_none());
