--- a/crates/config/tests/docs.rs
+++ b/crates/config/tests/docs.rs
@@ -1,12 +1,12 @@
-//! The configuration page names every field with its default.
+//! `docs/configuration.md` lists every field with its default.
 #![allow(clippy::unwrap_used)]
 
 use serde_json::Value;
 use std::fs;
 use std::path::Path;
 
-/// States only what is needed: everything else is a default.
-const NEEDED: &str = r#"{
+/// Sets only the required fields.
+const REQUIRED: &str = r#"{
     "availability_zones": ["z"],
     "services": {"s": {
         "routes": [{"path_prefix": "/", "repeat": "idempotent"}],
@@ -15,7 +15,7 @@
     }}
 }"#;
 
-/// Leaves of a document, under the names that the page gives them.
+/// Collects the leaves of a document under the field names that the page uses.
 fn leaves(path: &str, value: &Value, found: &mut Vec<(String, Value)>) {
     match value {
         Value::Object(fields) => {
@@ -36,8 +36,8 @@
     }
 }
 
-/// Rows of the page's tables that begin with a field.
-fn documented() -> Vec<(String, String)> {
+/// Field and default of each table row of the page that begins with a field.
+fn documented_fields() -> Vec<(String, String)> {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/configuration.md");
     let page = fs::read_to_string(page).unwrap();
     let rows = page.lines().filter(|line| line.starts_with("| `"));
@@ -52,20 +52,20 @@
 }
 
 #[test]
-fn page_states_every_field_and_default() {
-    let mut needed = Vec::new();
-    leaves("", &serde_json::from_str(NEEDED).unwrap(), &mut needed);
+fn page_lists_every_field_with_its_default() {
+    let mut required = Vec::new();
+    leaves("", &serde_json::from_str(REQUIRED).unwrap(), &mut required);
     let mut expected = Vec::new();
-    let config = config::merge(NEEDED, None).unwrap();
+    let config = config::merge(REQUIRED, None).unwrap();
     leaves("", &serde_json::to_value(config).unwrap(), &mut expected);
     let mut expected: Vec<(String, String)> = expected
         .into_iter()
         .map(|(field, value)| {
-            let is_needed = needed.iter().any(|(name, _)| *name == field);
-            (field, if is_needed { "needed".to_owned() } else { value.to_string() })
+            let is_required = required.iter().any(|(name, _)| *name == field);
+            (field, if is_required { "needed".to_owned() } else { value.to_string() })
         })
         .collect();
-    let mut documented = documented();
+    let mut documented = documented_fields();
     expected.sort();
     documented.sort();
     assert_eq!(documented, expected);
--- a/crates/config/tests/examples.rs
+++ b/crates/config/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The example configurations check clean and have the sizes they stand for.
+//! The example configurations are valid, cause no warnings and have the expected sizes.
 #![allow(clippy::unwrap_used)]
 
 use config::{Service, SiteConfig, merge_with_warnings};
@@ -30,7 +30,7 @@
     &[("printer-portal", 15), ("parts-and-invoicing", 6), ("usage-statements", 13)])]
 #[case::himal("himal/base.json", "himal/kathmandu-valley.json", 4, (3, 200),
     &[("catalogue", 8), ("ordering-and-invoicing", 8), ("delivery-slots", 10)])]
-fn example_has_its_size(
+fn example_has_expected_size(
     #[case] base: &str,
     #[case] overlay: &str,
     #[case] zones: usize,
