--- a/crates/emulator/src/play/scheduled.rs
+++ b/crates/emulator/src/simulation/scheduled.rs
@@ -1,6 +1,6 @@
 //! The product's scheduler in a play: real decisions, emulated messages.
 
-use super::{Event, FIRST_WORD_MS, Play, State, request_of};
+use super::{Event, FIRST_WORD_MS, Simulation, State, request_of};
 use crate::site::Site;
 use dispatch::backpressure::Backpressure;
 use dispatch::scheduler::{
@@ -74,7 +74,7 @@
     }
 }
 
-impl Play<'_> {
+impl Simulation<'_> {
     pub(super) fn submit(&mut self, request: usize) {
         let now_ms = self.now();
         let taken = &self.requests[request];
@@ -148,7 +148,7 @@
                 }
                 Effect::Probe(id) => {
                     let Some(upstream) = self.scheduler.index(&id) else { continue };
-                    self.figures.asks += 1;
+                    self.figures.probes += 1;
                     let way_ms = self.way_to_upstream_ms(0, upstream) + ANSWER_MS;
                     let asked = Event::AskedUpstream { upstream };
                     self.timeline.add(self.now_ms + way_ms, asked);
--- a/crates/gateway/tests/rate_limit.rs
+++ b/crates/gateway/tests/rate_limit.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use support::caller::{Caller, get};
 use support::upstream::StandInUpstream;
-use support::{callers, fleet, on_one_thread, published};
+use support::{caller_address, fleet, on_one_thread, published};
 
 /// A third to a fifth of the rate before. The first window that is checked includes the second before
 /// the limit was stated, so a much lower limit could not be kept.
@@ -40,13 +40,13 @@
         let begun = Instant::now();
         let end = begun + BEFORE + AFTER;
         let calling = hosts.iter().enumerate().map(|(number, host)| {
-            let address = callers(host);
+            let address = caller_address(host);
             tokio::task::spawn_local(async move {
                 let mut caller = Caller::connect(address).await;
                 let (mut sent, mut served) = (0, 0);
                 while Instant::now() < end {
                     sent += 1;
-                    let got = caller.ask(&get("/any/x", &format!("{number}-{sent}"))).await;
+                    let got = caller.exchange(&get("/any/x", &format!("{number}-{sent}"))).await;
                     served += usize::from(got.status == 200);
                     tokio::time::sleep(PAUSE).await;
                 }
@@ -58,12 +58,12 @@
         let stated = Instant::now();
         let before = limited.arrived(begun..stated);
         assert!(before > 2, "the others leave nothing to it: {before}");
-        limited.says(&[&format!("x-upstream-limit: {LIMIT_PER_S}")]);
+        limited.set_extra_headers(&[&format!("x-upstream-limit: {LIMIT_PER_S}")]);
         for callers in calling {
             let (sent, served) = callers.await.unwrap();
             assert_eq!(served, sent, "the others have capacity");
         }
-        let most = limited.most_arrived(WINDOW, stated + WATCHED_AFTER..end);
+        let most = limited.max_arrived_within(WINDOW, stated + WATCHED_AFTER..end);
         let allowed = LIMIT_PER_S * WINDOW.as_secs_f64() * ALLOWED_OVER + ALLOWED_SLACK;
         println!("{before} in a second before, {most} in four seconds of {allowed} allowed");
         assert!(most as f64 <= allowed, "{most} of {allowed} allowed");
@@ -99,13 +99,13 @@
     let mut upstreams = Vec::new();
     for number in 0..UPSTREAMS {
         let upstream = StandInUpstream::start(&format!("i-{number}")).await;
-        upstream.tells_load("0,0,3,100");
-        upstream.works_for(WORK_MS);
+        upstream.set_load("0,0,3,100");
+        upstream.set_work_ms(WORK_MS);
         upstreams.push(upstream);
     }
     let published = published(&upstreams.iter().collect::<Vec<_>>());
     let hosts = fleet(HOSTS, &published).await;
-    let addresses: Vec<SocketAddr> = hosts.iter().map(callers).collect();
+    let addresses: Vec<SocketAddr> = hosts.iter().map(caller_address).collect();
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let begun = Instant::now();
     let (stated, end) = (begun + 2 * BEFORE, begun + 2 * BEFORE + AFTER);
@@ -116,15 +116,15 @@
         let now = Instant::now();
         if now >= stated {
             for (upstream, limit) in upstreams.iter().zip(LIMITS_PER_S) {
-                upstream.says(&[&format!("x-upstream-limit: {limit}")]);
+                upstream.set_extra_headers(&[&format!("x-upstream-limit: {limit}")]);
             }
         }
         if now >= begun + NEIGHBOURS_CHANGE_EVERY * changes {
             changes += 1;
             for upstream in &upstreams {
                 let slowness = if rng.random_bool(0.35) { 7 } else { 1 };
-                upstream.tells_load(&format!("0,0,3,{}", 100 * slowness));
-                upstream.works_for(WORK_MS * slowness);
+                upstream.set_load(&format!("0,0,3,{}", 100 * slowness));
+                upstream.set_work_ms(WORK_MS * slowness);
             }
         }
         let due = now.duration_since(begun).as_millis() as u64 * CALLS_PER_S / 1_000;
@@ -133,7 +133,7 @@
             let host = rng.random_range(0..HOSTS);
             let (address, id) = (addresses[host], format!("h{host}-{sent}"));
             calls.push(tokio::task::spawn_local(async move {
-                Caller::connect(address).await.ask(&get("/any/x", &id)).await.status
+                Caller::connect(address).await.exchange(&get("/any/x", &id)).await.status
             }));
         }
         tokio::time::sleep(Duration::from_millis(2)).await;
@@ -161,7 +161,7 @@
 /// Most requests in a window, from hosts that had delivered a response with the limit in time.
 fn most_from_informed_hosts(upstream: &StandInUpstream, stated: Instant, end: Instant) -> usize {
     let arrivals: Vec<Vec<Instant>> =
-        (0..HOSTS).map(|host| upstream.arrivals_of(&format!("h{host}-"))).collect();
+        (0..HOSTS).map(|host| upstream.arrivals_with_prefix(&format!("h{host}-"))).collect();
     let delivered = |of_host: &Vec<Instant>| of_host.iter().find(|at| **at >= stated).copied();
     let within = |last: Instant| {
         let is_informed = |of_host: &&Vec<Instant>| {
--- a/crates/gateway/tests/serving.rs
+++ b/crates/gateway/tests/serving.rs
@@ -5,31 +5,35 @@
 
 use rstest::rstest;
 use support::caller::{Caller, get, post};
-use support::upstream::{Act, StandInUpstream};
-use support::{callers, on_one_thread, ready, until, upstream_item};
+use support::upstream::{Behaviour, StandInUpstream};
+use support::{caller_address, on_one_thread, ready, upstream_item, wait_until};
 
 /// Sends one request through a gateway with one upstream; returns the response, and the number of
 /// requests that the upstream received.
-async fn send_one(request: String, act: Act) -> (support::caller::Got, usize) {
+async fn send_one(request: String, act: Behaviour) -> (support::caller::CallerResponse, usize) {
     let upstream = StandInUpstream::start("i-1").await;
     let (gateway, _) = ready(&[&upstream]).await;
-    upstream.plays([act]);
-    let got = Caller::connect(callers(&gateway)).await.ask(&request).await;
-    (got, upstream.seen().len())
+    upstream.add_to_script([act]);
+    let got = Caller::connect(caller_address(&gateway)).await.exchange(&request).await;
+    (got, upstream.requests().len())
 }
 
 #[rstest]
-#[case::answer(Act::Answer, 200, 1)]
-#[case::unframed(Act::Unframed, 200, 1)]
-#[case::error_of_its_own(Act::Status(500), 500, 1)]
-#[case::unavailable_without_not_run_header(Act::Status(503), 502, 1)]
-#[case::too_many_requests_without_not_run_header(Act::Bare(429), 502, 1)]
-#[case::success_without_seal(Act::NoSeal, 502, 1)]
-#[case::cut(Act::Cut, 502, 1)]
-#[case::garbage(Act::Garbage, 502, 1)]
-#[case::reset(Act::Reset, 502, 1)]
-#[case::mute(Act::Mute, 504, 1)]
-fn at_most_once_requests_are_sent_once(#[case] act: Act, #[case] status: u16, #[case] sent: usize) {
+#[case::answer(Behaviour::Respond, 200, 1)]
+#[case::unframed(Behaviour::Unframed, 200, 1)]
+#[case::error_of_its_own(Behaviour::Status(500), 500, 1)]
+#[case::unavailable_without_not_run_header(Behaviour::Status(503), 502, 1)]
+#[case::too_many_requests_without_not_run_header(Behaviour::UnsealedStatus(429), 502, 1)]
+#[case::success_without_seal(Behaviour::Unsealed, 502, 1)]
+#[case::cut(Behaviour::Truncated, 502, 1)]
+#[case::garbage(Behaviour::Garbage, 502, 1)]
+#[case::reset(Behaviour::Reset, 502, 1)]
+#[case::mute(Behaviour::NoResponse, 504, 1)]
+fn at_most_once_requests_are_sent_once(
+    #[case] act: Behaviour,
+    #[case] status: u16,
+    #[case] sent: usize,
+) {
     on_one_thread(async {
         let (got, seen) = send_one(post("/once/x", "id-1", "{}"), act.clone()).await;
         assert_eq!((got.status, seen), (status, sent), "{act:?} {got:?}");
@@ -39,23 +43,24 @@
 }
 
 #[rstest]
-#[case::answer(Act::Answer)]
-#[case::success_without_seal(Act::NoSeal)]
-#[case::unavailable_without_not_run_header(Act::Bare(503))]
-#[case::error(Act::Status(500))]
-#[case::cut(Act::Cut)]
-#[case::garbage(Act::Garbage)]
-#[case::reset(Act::Reset)]
-#[case::shed(Act::Shed)]
-fn an_idempotent_request_is_retried_on_another_upstream(#[case] act: Act) {
+#[case::answer(Behaviour::Respond)]
+#[case::success_without_seal(Behaviour::Unsealed)]
+#[case::unavailable_without_not_run_header(Behaviour::UnsealedStatus(503))]
+#[case::error(Behaviour::Status(500))]
+#[case::cut(Behaviour::Truncated)]
+#[case::garbage(Behaviour::Garbage)]
+#[case::reset(Behaviour::Reset)]
+#[case::shed(Behaviour::NotRun)]
+fn an_idempotent_request_is_retried_on_another_upstream(#[case] act: Behaviour) {
     on_one_thread(async {
         let (first, second) =
             (StandInUpstream::start("i-1").await, StandInUpstream::start("i-2").await);
         let (gateway, _) = ready(&[&first, &second]).await;
         // The first one is chosen first, and misbehaves once.
-        first.plays([act.clone()]);
-        second.tells_load("5,0,6,100");
-        let got = Caller::connect(callers(&gateway)).await.ask(&get("/any/x", "id-1")).await;
+        first.add_to_script([act.clone()]);
+        second.set_load("5,0,6,100");
+        let got =
+            Caller::connect(caller_address(&gateway)).await.exchange(&get("/any/x", "id-1")).await;
         assert_eq!(got.status, 200, "{act:?} {got:?}");
         assert!(got.is_sealed);
         assert_eq!(got.id, "id-1");
@@ -66,32 +71,34 @@
 /// no better response.
 #[rstest]
 #[case::no_other_upstream(&[], 1)]
-#[case::the_other_resets_the_connection(&[Act::Reset], 2)]
-#[case::the_other_refuses(&[Act::Shed], 2)]
-#[case::the_other_does_not_respond(&[Act::Mute], 2)]
+#[case::the_other_resets_the_connection(&[Behaviour::Reset], 2)]
+#[case::the_other_refuses(&[Behaviour::NotRun], 2)]
+#[case::the_other_does_not_respond(&[Behaviour::NoResponse], 2)]
 fn an_upstreams_error_is_delivered_if_its_retry_fails(
-    #[case] other: &'static [Act],
+    #[case] other: &'static [Behaviour],
     #[case] sent: usize,
 ) {
     on_one_thread(async move {
         let first = StandInUpstream::start("i-1").await;
         let second = StandInUpstream::start("i-2").await;
         let (gateway, published) = ready(&[&first]).await;
-        first.plays([Act::Slow(40), Act::Status(500)]);
-        second.plays(other.iter().cloned());
-        second.tells_load("5,0,6,100");
-        let mut caller = Caller::connect(callers(&gateway)).await;
+        first.add_to_script([Behaviour::Slow(40), Behaviour::Status(500)]);
+        second.add_to_script(other.iter().cloned());
+        second.set_load("5,0,6,100");
+        let mut caller = Caller::connect(caller_address(&gateway)).await;
         // The first upstream becomes known, so that the next request goes to it first.
-        assert_eq!(caller.ask(&get("/any/x", "id-0")).await.status, 200);
+        assert_eq!(caller.exchange(&get("/any/x", "id-0")).await.status, 200);
         if !other.is_empty() {
             published.write("servers", upstream_item(second.id(), second.address()));
-            until("both are known", || gateway.host().published_state().upstreams().count() == 2)
-                .await;
+            wait_until("both are known", || {
+                gateway.host().published_state().upstreams().count() == 2
+            })
+            .await;
         }
-        let got = caller.ask(&get("/any/x", "id-1")).await;
+        let got = caller.exchange(&get("/any/x", "id-1")).await;
         assert_eq!((got.status, got.is_sealed), (500, true), "{got:?}");
         assert_eq!(got.body, "i-1 ran id-1");
-        assert_eq!(first.seen().len() - 1 + second.seen().len(), sent);
+        assert_eq!(first.requests().len() - 1 + second.requests().len(), sent);
     });
 }
 
@@ -101,12 +108,14 @@
         let (first, second) =
             (StandInUpstream::start("i-1").await, StandInUpstream::start("i-2").await);
         let (gateway, _) = ready(&[&first, &second]).await;
-        first.plays([Act::Shed]);
-        second.tells_load("5,0,6,100");
-        let got =
-            Caller::connect(callers(&gateway)).await.ask(&post("/once/x", "id-1", "{}")).await;
+        first.add_to_script([Behaviour::NotRun]);
+        second.set_load("5,0,6,100");
+        let got = Caller::connect(caller_address(&gateway))
+            .await
+            .exchange(&post("/once/x", "id-1", "{}"))
+            .await;
         assert_eq!(got.status, 200);
-        assert_eq!(second.seen().len(), 1);
+        assert_eq!(second.requests().len(), 1);
     });
 }
 
@@ -115,9 +124,11 @@
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _) = ready(&[&upstream]).await;
-        upstream.plays(std::iter::repeat_n(Act::Shed, 9));
-        let got =
-            Caller::connect(callers(&gateway)).await.ask(&post("/once/x", "id-1", "{}")).await;
+        upstream.add_to_script(std::iter::repeat_n(Behaviour::NotRun, 9));
+        let got = Caller::connect(caller_address(&gateway))
+            .await
+            .exchange(&post("/once/x", "id-1", "{}"))
+            .await;
         assert_eq!(got.status, 503, "{got:?}");
         assert!(got.retry_after.unwrap() > 0.0);
     });
@@ -128,12 +139,12 @@
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _) = ready(&[&upstream]).await;
-        let mut caller = Caller::connect(callers(&gateway)).await;
-        caller.ask(&post("/once/x?y=z", "id-1", "{\"a\":1}")).await;
+        let mut caller = Caller::connect(caller_address(&gateway)).await;
+        caller.exchange(&post("/once/x?y=z", "id-1", "{\"a\":1}")).await;
         let chunked = "POST /once/c HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: id-2\r\n\
                        Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
-        caller.ask(chunked).await;
-        let seen = upstream.seen();
+        caller.exchange(chunked).await;
+        let seen = upstream.requests();
         assert_eq!(seen[0].line, "POST /once/x?y=z");
         assert_eq!((seen[0].id.as_str(), seen[0].body.as_str()), ("id-1", "{\"a\":1}"));
         assert_eq!(seen[0].expected, "i-1");
@@ -148,11 +159,11 @@
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _) = ready(&[&upstream]).await;
-        let mut caller = Caller::connect(callers(&gateway)).await;
+        let mut caller = Caller::connect(caller_address(&gateway)).await;
         for round in 0..20 {
-            upstream.plays([Act::Twice]);
+            upstream.add_to_script([Behaviour::Duplicated]);
             let id = format!("id-{round}");
-            let got = caller.ask(&post("/once/x", &id, "{}")).await;
+            let got = caller.exchange(&post("/once/x", &id, "{}")).await;
             assert_eq!((got.status, got.id.as_str()), (200, id.as_str()));
             assert_eq!(got.body, format!("i-1 ran {id}"));
         }
@@ -166,17 +177,17 @@
         let (gateway, published) = ready(&[&new]).await;
         // `i-1` is still published with the address that `i-2` has now.
         published.write("servers", support::upstream_item("i-1", old.address()));
-        until("it is known", || {
+        wait_until("it is known", || {
             gateway.host().upstreams.borrow().count_eligible(&support::service()) == 2
         })
         .await;
-        let mut caller = Caller::connect(callers(&gateway)).await;
+        let mut caller = Caller::connect(caller_address(&gateway)).await;
         for round in 0..10 {
-            let got = caller.ask(&post("/once/x", &format!("id-{round}"), "{}")).await;
+            let got = caller.exchange(&post("/once/x", &format!("id-{round}"), "{}")).await;
             assert_eq!(got.status, 200);
         }
-        assert!(old.seen().is_empty());
-        assert_eq!(new.seen().len(), 10);
+        assert!(old.requests().is_empty());
+        assert_eq!(new.requests().len(), 10);
     });
 }
 
@@ -185,14 +196,14 @@
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _) = ready(&[&upstream]).await;
-        upstream.plays([Act::Early]);
-        let mut caller = Caller::connect(callers(&gateway)).await;
+        upstream.add_to_script([Behaviour::EarlyResponse]);
+        let mut caller = Caller::connect(caller_address(&gateway)).await;
         let long = "x".repeat(90_000);
-        let got = caller.ask(&post("/once/x", "id-1", &long)).await;
+        let got = caller.exchange(&post("/once/x", "id-1", &long)).await;
         assert!(matches!(got.status, 413 | 502), "{got:?}");
-        let got = caller.ask(&post("/once/x", "id-2", "{}")).await;
+        let got = caller.exchange(&post("/once/x", "id-2", "{}")).await;
         assert_eq!((got.status, got.body.as_str()), (200, "i-1 ran id-2"));
-        assert_eq!(upstream.seen().last().unwrap().body, "{}");
+        assert_eq!(upstream.requests().last().unwrap().body, "{}");
     });
 }
 
@@ -201,12 +212,12 @@
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _) = ready(&[&upstream]).await;
-        upstream.plays([Act::Slow(300), Act::Answer, Act::Answer]);
-        let mut caller = Caller::connect(callers(&gateway)).await;
+        upstream.add_to_script([Behaviour::Slow(300), Behaviour::Respond, Behaviour::Respond]);
+        let mut caller = Caller::connect(caller_address(&gateway)).await;
         let three: String = (0..3).map(|n| get("/any/x", &format!("id-{n}"))).collect();
         caller.send(&three).await;
         // All three have arrived while the first is still being served.
-        until("all arrived", || upstream.seen().len() == 3).await;
+        wait_until("all arrived", || upstream.requests().len() == 3).await;
         for n in 0..3 {
             let got = caller.receive().await.unwrap();
             assert_eq!((got.status, got.id), (200, format!("id-{n}")));
@@ -219,14 +230,14 @@
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _) = ready(&[&upstream]).await;
-        upstream.plays([Act::Slow(100), Act::Answer, Act::Answer]);
-        let mut caller = Caller::connect(callers(&gateway)).await;
+        upstream.add_to_script([Behaviour::Slow(100), Behaviour::Respond, Behaviour::Respond]);
+        let mut caller = Caller::connect(caller_address(&gateway)).await;
         let all = [get("/any/x", "id-0"), post("/once/x", "id-1", "{}"), get("/any/y", "id-2")];
         caller.send(&all.concat()).await;
         for n in 0..3 {
             assert_eq!(caller.receive().await.unwrap().id, format!("id-{n}"));
         }
-        let order: Vec<String> = upstream.seen().into_iter().map(|seen| seen.id).collect();
+        let order: Vec<String> = upstream.requests().into_iter().map(|seen| seen.id).collect();
         assert_eq!(order, ["id-0", "id-1", "id-2"]);
     });
 }
@@ -236,12 +247,12 @@
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _) = ready(&[&upstream]).await;
-        upstream.plays([Act::Slow(5_000), Act::Slow(5_000)]);
-        let mut caller = Caller::connect(callers(&gateway)).await;
+        upstream.add_to_script([Behaviour::Slow(5_000), Behaviour::Slow(5_000)]);
+        let mut caller = Caller::connect(caller_address(&gateway)).await;
         caller.send(&[get("/any/x", "id-0"), get("/any/x", "id-1")].concat()).await;
-        until("both arrived", || upstream.seen().len() == 2).await;
+        wait_until("both arrived", || upstream.requests().len() == 2).await;
         drop(caller);
-        until("both were withdrawn", || upstream.abandoned() == 2).await;
+        wait_until("both were withdrawn", || upstream.abandoned() == 2).await;
         assert_eq!(gateway.host().open_requests.get(), 0);
         let log = gateway.host().log.take_buffered();
         assert_eq!(log.matches("\"event\":\"caller-gone\"").count(), 2, "{log}");
@@ -253,12 +264,12 @@
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _) = ready(&[&upstream]).await;
-        upstream.plays([Act::Slow(200)]);
-        let mut caller = Caller::connect(callers(&gateway)).await;
+        upstream.add_to_script([Behaviour::Slow(200)]);
+        let mut caller = Caller::connect(caller_address(&gateway)).await;
         caller.send(&post("/once/x", "id-0", "{}")).await;
-        until("it arrived", || upstream.seen().len() == 1).await;
+        wait_until("it arrived", || upstream.requests().len() == 1).await;
         drop(caller);
-        until("it ended", || gateway.host().open_requests.get() == 0).await;
+        wait_until("it ended", || gateway.host().open_requests.get() == 0).await;
         assert_eq!(upstream.abandoned(), 0);
         let log = gateway.host().log.take_buffered();
         assert!(
@@ -286,9 +297,9 @@
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _) = ready(&[&upstream]).await;
-        let got = Caller::connect(callers(&gateway)).await.ask(text).await;
+        let got = Caller::connect(caller_address(&gateway)).await.exchange(text).await;
         assert_eq!(got.status, status, "{got:?}");
-        assert!(upstream.seen().is_empty());
+        assert!(upstream.requests().is_empty());
     });
 }
 
@@ -297,14 +308,14 @@
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _) = ready(&[&upstream]).await;
-        let mut caller = Caller::connect(callers(&gateway)).await;
+        let mut caller = Caller::connect(caller_address(&gateway)).await;
         let all = [get("/any/x", "id-0"), "BAD\r\n\r\n".to_owned(), get("/any/x", "id-2")];
         caller.send(&all.concat()).await;
         assert_eq!(caller.receive().await.unwrap().id, "id-0");
         let malformed = caller.receive().await.unwrap();
         assert_eq!((malformed.status, malformed.closes), (400, true));
         assert!(caller.receive().await.is_none());
-        assert_eq!(upstream.seen().len(), 1);
+        assert_eq!(upstream.requests().len(), 1);
     });
 }
 
@@ -314,25 +325,25 @@
         let (slow, normal) =
             (StandInUpstream::start("i-1").await, StandInUpstream::start("i-2").await);
         let (gateway, _) = ready(&[&slow, &normal]).await;
-        slow.tells_load("0,0,6,700");
-        let mut caller = Caller::connect(callers(&gateway)).await;
+        slow.set_load("0,0,6,700");
+        let mut caller = Caller::connect(caller_address(&gateway)).await;
         for round in 0..20 {
-            caller.ask(&get("/any/x", &format!("id-{round}"))).await;
+            caller.exchange(&get("/any/x", &format!("id-{round}"))).await;
         }
-        assert_eq!(normal.seen().len(), 20);
+        assert_eq!(normal.requests().len(), 20);
         // Now their loads are swapped, which is noticed once the load reports are outdated.
-        slow.tells_load("0,0,6,100");
-        normal.tells_load("0,0,6,700");
+        slow.set_load("0,0,6,100");
+        normal.set_load("0,0,6,700");
         let mut round = 20;
-        while slow.seen().is_empty() {
+        while slow.requests().is_empty() {
             assert!(round < 2_000, "the changed load was not noticed");
-            caller.ask(&get("/any/x", &format!("id-{round}"))).await;
+            caller.exchange(&get("/any/x", &format!("id-{round}"))).await;
             round += 1;
         }
         for round in round..round + 20 {
-            caller.ask(&get("/any/x", &format!("id-{round}"))).await;
+            caller.exchange(&get("/any/x", &format!("id-{round}"))).await;
         }
-        assert_eq!(slow.seen().len(), 21);
+        assert_eq!(slow.requests().len(), 21);
     });
 }
 
@@ -342,19 +353,19 @@
         let (unwell, well) =
             (StandInUpstream::start("i-1").await, StandInUpstream::start("i-2").await);
         let (gateway, published) = ready(&[&unwell, &well]).await;
-        unwell.is_well(false);
-        let mut caller = Caller::connect(callers(&gateway)).await;
+        unwell.set_healthy(false);
+        let mut caller = Caller::connect(caller_address(&gateway)).await;
         for round in 0..5 {
-            caller.ask(&get("/any/x", &format!("id-{round}"))).await;
+            caller.exchange(&get("/any/x", &format!("id-{round}"))).await;
         }
-        assert!(unwell.seen().is_empty());
+        assert!(unwell.requests().is_empty());
         published.remove(&"i-2".parse().unwrap());
-        until("it is gone", || {
+        wait_until("it is gone", || {
             gateway.host().upstreams.borrow().count_eligible(&support::service()) == 1
         })
         .await;
-        assert_eq!(caller.ask(&get("/any/x", "id-9")).await.status, 200);
-        assert_eq!(unwell.seen().len(), 1);
+        assert_eq!(caller.exchange(&get("/any/x", "id-9")).await.status, 200);
+        assert_eq!(unwell.requests().len(), 1);
     });
 }
 
@@ -363,9 +374,9 @@
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, _) = ready(&[&upstream]).await;
-        let mut caller = Caller::connect(callers(&gateway)).await;
+        let mut caller = Caller::connect(caller_address(&gateway)).await;
         for round in 0..30 {
-            caller.ask(&get("/any/x", &format!("id-{round}"))).await;
+            caller.exchange(&get("/any/x", &format!("id-{round}"))).await;
         }
         assert!(upstream.connections() <= 2, "{}", upstream.connections());
     });
@@ -374,7 +385,7 @@
 #[test]
 fn a_refusal_by_the_host_has_no_seal() {
     on_one_thread(async {
-        let (got, _) = send_one(post("/once/x", "id-1", "{}"), Act::Reset).await;
+        let (got, _) = send_one(post("/once/x", "id-1", "{}"), Behaviour::Reset).await;
         assert_eq!(got.cause, "upstream-failed");
         assert!(!got.is_sealed);
         assert!(got.body.is_empty());
@@ -387,7 +398,7 @@
     let mut start_with_short_idle_timeout = support::routing(2);
     start_with_short_idle_timeout.limits.idle_timeout_ms = domain::Millis(100);
     published.write_routing(start_with_short_idle_timeout);
-    until("it is in force", || {
+    wait_until("it is in force", || {
         let table = gateway.host().table.borrow();
         table.as_ref().is_some_and(|table| table.routing().version == domain::Version(2))
     })
@@ -400,9 +411,9 @@
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let gateway = start_with_short_idle_timeout(&upstream).await;
-        upstream.plays([Act::Slow(500)]);
-        let mut caller = Caller::connect(callers(&gateway)).await;
-        let got = caller.ask(&get("/any/x", "id-1")).await;
+        upstream.add_to_script([Behaviour::Slow(500)]);
+        let mut caller = Caller::connect(caller_address(&gateway)).await;
+        let got = caller.exchange(&get("/any/x", "id-1")).await;
         assert_eq!((got.status, got.id.as_str()), (200, "id-1"));
         // Then the connection is idle, and is closed.
         assert!(caller.receive().await.is_none());
@@ -414,10 +425,10 @@
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let gateway = start_with_short_idle_timeout(&upstream).await;
-        let mut caller = Caller::connect(callers(&gateway)).await;
-        assert_eq!(caller.ask(&get("/any/x", "id-1")).await.status, 200);
+        let mut caller = Caller::connect(caller_address(&gateway)).await;
+        assert_eq!(caller.exchange(&get("/any/x", "id-1")).await.status, 200);
         tokio::time::sleep(std::time::Duration::from_millis(150)).await;
-        assert_eq!(caller.ask(&get("/any/x", "id-2")).await.status, 200);
+        assert_eq!(caller.exchange(&get("/any/x", "id-2")).await.status, 200);
         // It is closed later.
         assert!(caller.receive().await.is_none());
     });
@@ -439,8 +450,8 @@
         let mut settings = support::settings(&[]);
         settings.limits.probes = domain::PerSecond(0.001);
         let gateway = support::start(settings, &published).await;
-        until("it is ready", || gateway.host().is_ready()).await;
-        let mut caller = Caller::connect(callers(&gateway)).await;
+        wait_until("it is ready", || gateway.host().is_ready()).await;
+        let mut caller = Caller::connect(caller_address(&gateway)).await;
         let connections = || upstreams.iter().map(StandInUpstream::connections).sum::<u32>();
         let host = gateway.host();
         for upstream in &upstreams {
@@ -453,7 +464,7 @@
         }
         for round in 0..4 {
             let before = connections();
-            let got = caller.ask(&post("/once/x", &format!("id-{round}"), "{}")).await;
+            let got = caller.exchange(&post("/once/x", &format!("id-{round}"), "{}")).await;
             assert_eq!(got.status, 200);
             assert_eq!(connections() - before, 1);
             // Longer than an idle connection is trusted with an at-most-once request.
