--- a/crates/gateway/tests/retry_after.rs
+++ b/crates/gateway/tests/retry_after.rs
@@ -50,7 +50,8 @@
                 let (mut sent, mut served) = (0, 0);
                 while Instant::now() < end {
                     sent += 1;
-                    let got = caller.exchange(&get("/any/x", &format!("h{host}-{number}-{sent}"))).await;
+                    let got =
+                        caller.exchange(&get("/any/x", &format!("h{host}-{number}-{sent}"))).await;
                     served += usize::from(got.status == 200);
                     tokio::time::sleep(PAUSE).await;
                 }
--- a/crates/gateway/tests/scheduling.rs
+++ b/crates/gateway/tests/scheduling.rs
@@ -131,8 +131,10 @@
         assert_eq!(upstream.requests().len(), 3);
         // A new run of it is used again.
         send_hello(&gateway, Member { incarnation: Incarnation(2), ..unresponsive });
-        wait_until("it is known again", || gateway.host().log.take_buffered().contains("peers-heard"))
-            .await;
+        wait_until("it is known again", || {
+            gateway.host().log.take_buffered().contains("peers-heard")
+        })
+        .await;
         assert_eq!(caller.exchange(&post("/once/x", "id-3", "{}")).await.status, 200);
         assert_eq!(chosen_by(&gateway), ["asking"]);
     });
