--- a/crates/ctl/src/args.rs
+++ b/crates/ctl/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments. Doc comments in this file are the help text.
 
 use clap::{ArgGroup, Parser, Subcommand};
 use std::net::SocketAddr;
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,6 +1,6 @@
 //! `jujubectl`, the operators' tool.
 //!
-//! Files are checked, merged and compared offline; running processes are asked over
+//! Checks, merges and compares configuration files offline, and queries running processes at
 //! their operator address. Results go to stdout, problems and remedies to stderr.
 
 mod args;
@@ -9,7 +9,7 @@
 mod explain;
 mod operator;
 mod output;
-mod story;
+mod timeline;
 
 use args::{Args, Command, ExplainTarget};
 use clap::Parser;
@@ -49,7 +49,7 @@
             operator::Client::new(&target)?.explain(format, ExplainKind::Call, &id).await
         }
         Command::Explain { what: ExplainTarget::Request { id, files } } => {
-            story::explain(format, &id, &files)
+            timeline::explain(format, &id, &files)
         }
         Command::Drain { target } => operator::Client::new(&target)?.drain(format).await,
         Command::Health { target } => operator::Client::new(&target)?.health(format).await,
--- a/crates/ctl/src/story.rs
+++ b/crates/ctl/src/timeline.rs
@@ -1,8 +1,8 @@
-//! The story of one request, from the structured logs of any hosts.
+//! Timeline of one request, built from the structured logs of several hosts.
 //!
-//! Lines about the request are merged by time. What its hosts believed and suffered
-//! shortly before and meanwhile stands between them, as far as it touches the upstreams
-//! that the request met. A line that can't be read is named and passed over.
+//! Merges the lines about the request by time. Adds context lines of the same hosts: events
+//! shortly before or during the request that affect the whole host or an upstream that the
+//! request's lines name. Reports and skips lines that can't be parsed.
 
 use crate::error::CtlError;
 use crate::output::{Format, Status};
@@ -13,10 +13,10 @@
 use std::io::Read;
 use std::path::{Path, PathBuf};
 
-/// What happened so long before a request still counts as its surroundings.
-const BEFORE_MS: u64 = 3_000;
+/// Context lines may be this much older than the request's first line.
+const CONTEXT_BEFORE_MS: u64 = 3_000;
 
-/// Events of a host that bear on every request it serves.
+/// Events that affect every request of a host.
 const HOST_EVENTS: [&str; 9] = [
     "started",
     "stopping",
@@ -29,29 +29,29 @@
     "reload-failed",
 ];
 
-/// Name under which standard input is reported.
+/// Name of standard input in messages.
 const STDIN: &str = "standard input";
 
-/// One line of a log.
+/// A parsed log line.
 #[derive(Debug, Clone, Serialize)]
 pub struct Line {
     at_ms: u64,
     host: String,
     event: String,
-    /// It names the request; the others are what happened around it.
+    /// Whether the line is about the request; otherwise it is a context line.
     is_own: bool,
     fields: Map<String, Value>,
 }
 
-/// What became of a request.
+/// The lines about a request, its context lines, and its cause.
 #[derive(Debug, Serialize)]
-pub struct Story {
+pub struct Timeline {
     id: String,
     lines: Vec<Line>,
     cause: String,
 }
 
-/// A line that can't be read.
+/// A line that can't be parsed.
 #[derive(Debug, PartialEq, Eq)]
 pub struct BadLine {
     file: String,
@@ -59,26 +59,26 @@
     problem: String,
 }
 
-/// Prints the story of a request.
+/// Prints the timeline of a request.
 pub fn explain(format: Format, id: &str, files: &[PathBuf]) -> Result<Status, Report<CtlError>> {
     let mut lines = Vec::new();
-    for (name, text) in read(files)? {
-        let bad = take_lines(&name, &text, &mut lines);
+    for (name, text) in read_inputs(files)? {
+        let bad = parse_lines(&name, &text, &mut lines);
         for BadLine { file, number, problem } in bad {
             eprintln!("{file}:{number}: passed over: {problem}");
         }
     }
-    let story = tell(id, lines);
-    if !story.lines.iter().any(|line| line.is_own) {
+    let timeline = build_timeline(id, lines);
+    if !timeline.lines.iter().any(|line| line.is_own) {
         let path = format!("request {id}");
         let remedy = Some("give the logs of all hosts of that time".to_owned());
         return Err(Report::new(CtlError::NotFound { path, remedy }));
     }
-    format.print(&story, &story_text(&story))?;
+    format.print(&timeline, &timeline_text(&timeline))?;
     Ok(Status::Done)
 }
 
-fn read(files: &[PathBuf]) -> Result<Vec<(String, String)>, Report<CtlError>> {
+fn read_inputs(files: &[PathBuf]) -> Result<Vec<(String, String)>, Report<CtlError>> {
     if files.is_empty() {
         let mut bytes = Vec::new();
         let stdin = std::io::stdin().lock().read_to_end(&mut bytes);
@@ -94,59 +94,59 @@
     Ok((file.display().to_string(), String::from_utf8_lossy(&bytes).into_owned()))
 }
 
-fn take_lines(file: &str, text: &str, lines: &mut Vec<Line>) -> Vec<BadLine> {
+fn parse_lines(file: &str, text: &str, lines: &mut Vec<Line>) -> Vec<BadLine> {
     let mut bad = Vec::new();
-    for (at, text) in text.lines().enumerate().filter(|(_, text)| !text.trim().is_empty()) {
-        match read_line(text) {
+    for (index, text) in text.lines().enumerate().filter(|(_, text)| !text.trim().is_empty()) {
+        match parse_line(text) {
             Ok(line) => lines.push(line),
             Err(problem) => {
-                bad.push(BadLine { file: file.to_owned(), number: at + 1, problem });
+                bad.push(BadLine { file: file.to_owned(), number: index + 1, problem });
             }
         }
     }
     bad
 }
 
-/// Whatever carries logs may put something before a line.
-fn read_line(text: &str) -> Result<Line, String> {
+/// Parses a line, ignoring any prefix that a log collector added before the JSON object.
+fn parse_line(text: &str) -> Result<Line, String> {
     let begin = text.find('{').ok_or("no JSON object")?;
     let mut fields: Map<String, Value> =
         serde_json::from_str(&text[begin..]).map_err(|e| e.to_string())?;
     let at_ms = fields.remove("at_ms").and_then(|value| value.as_u64()).ok_or("no `at_ms`")?;
-    let mut word = |name: &str| {
+    let mut take_string = |name: &str| {
         let value = fields.remove(name).and_then(|value| value.as_str().map(str::to_owned));
         value.ok_or_else(|| format!("no `{name}`"))
     };
-    let (host, event) = (word("host")?, word("event")?);
+    let (host, event) = (take_string("host")?, take_string("event")?);
     Ok(Line { at_ms, host, event, is_own: false, fields })
 }
 
-fn tell(id: &str, mut lines: Vec<Line>) -> Story {
+fn build_timeline(id: &str, mut lines: Vec<Line>) -> Timeline {
     for line in &mut lines {
         line.is_own = line.fields.get("id").and_then(Value::as_str) == Some(id);
     }
     lines.sort_by_key(|line| line.at_ms);
     let own: Vec<Line> = lines.iter().filter(|line| line.is_own).cloned().collect();
-    lines.retain(|line| line.is_own || is_around(line, &own));
+    lines.retain(|line| line.is_own || is_context(line, &own));
     let cause = cause(&own);
-    Story { id: id.to_owned(), lines, cause }
+    Timeline { id: id.to_owned(), lines, cause }
 }
 
-/// Whether something else that a host logged bears on the request.
-fn is_around(line: &Line, own: &[Line]) -> bool {
+/// Whether a line that is not about the request belongs to its context.
+fn is_context(line: &Line, own: &[Line]) -> bool {
     let (Some(first), Some(last)) = (own.first(), own.last()) else { return false };
-    let is_then = line.at_ms + BEFORE_MS >= first.at_ms && line.at_ms <= last.at_ms;
-    let is_there = own.iter().any(|own| own.host == line.host);
+    let is_in_time = line.at_ms + CONTEXT_BEFORE_MS >= first.at_ms && line.at_ms <= last.at_ms;
+    let is_same_host = own.iter().any(|own| own.host == line.host);
     let names_upstream = || {
         let upstream = line.fields.get("upstream");
         upstream.is_some() && own.iter().any(|own| own.fields.get("upstream") == upstream)
     };
     let is_other_request = line.fields.contains_key("id");
-    let bears = HOST_EVENTS.contains(&line.event.as_str()) || names_upstream();
-    is_then && is_there && !is_other_request && bears
+    let is_relevant = HOST_EVENTS.contains(&line.event.as_str()) || names_upstream();
+    is_in_time && is_same_host && !is_other_request && is_relevant
 }
 
-/// The last thing that decided about the request, in words.
+/// Describes how the request ended, and its last failed attempt, if any.
 fn cause(own: &[Line]) -> String {
     let last_failure = own.iter().rev().find(|line| line.event == "send-failed");
     let ending = own
@@ -156,7 +156,7 @@
     let Some(ending) = ending else {
         return "no end is logged: the host ended, or its last lines were lost".to_owned();
     };
-    let field = |line: &Line, name: &str| line.fields.get(name).map(plain).unwrap_or_default();
+    let field = |line: &Line, name: &str| line.fields.get(name).map(value_text).unwrap_or_default();
     let mut text = match ending.event.as_str() {
         "delivered" => format!(
             "an answer with status {} of {} was passed on after {} ms (objective {} ms)",
@@ -189,22 +189,22 @@
     text
 }
 
-fn story_text(story: &Story) -> String {
-    let start_ms = story.lines.iter().find(|line| line.is_own).map_or(0, |line| line.at_ms);
-    let mut text = format!("request {}", story.id);
-    for line in &story.lines {
+fn timeline_text(timeline: &Timeline) -> String {
+    let start_ms = timeline.lines.iter().find(|line| line.is_own).map_or(0, |line| line.at_ms);
+    let mut text = format!("request {}", timeline.id);
+    for line in &timeline.lines {
         let after_ms = i128::from(line.at_ms) - i128::from(start_ms);
         let mark = if line.is_own { ' ' } else { '~' };
         let _ = write!(text, "\n{after_ms:>+6} ms {mark} {} {}", line.host, line.event);
         for (name, value) in line.fields.iter().filter(|(name, _)| *name != "id") {
-            let _ = write!(text, " {name}={}", plain(value));
+            let _ = write!(text, " {name}={}", value_text(value));
         }
     }
-    let _ = write!(text, "\ncause: {}", story.cause);
+    let _ = write!(text, "\ncause: {}", timeline.cause);
     text
 }
 
-fn plain(value: &Value) -> String {
+fn value_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         value => value.to_string(),
--- a/crates/ctl/tests/story.rs
+++ b/crates/ctl/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! The story of a request, from log files.
+//! The timeline of a request, from log files.
 #![allow(clippy::unwrap_used)]
 
 use rstest::rstest;
@@ -44,23 +44,26 @@
     let (one, two) = (file(FRONT_1), file(FRONT_2));
     let output = explain("abc", &[&one, &two]);
     assert!(output.status.success());
-    let told = text(&output.stdout);
-    let lines: Vec<&str> = told.lines().collect();
-    assert!(lines[0].contains("request abc"), "{told}");
-    assert!(lines.last().unwrap().starts_with("cause: upstream-failed: answered 502"), "{told}");
-    assert!(lines.last().unwrap().contains("it may have run"), "{told}");
-    assert!(lines.last().unwrap().contains("broken at i-1"), "{told}");
-    let place = |part: &str| lines.iter().position(|line| line.contains(part)).unwrap();
-    assert!(place("overloaded") < place("chosen"), "{told}");
-    // What happened around it is told too, other requests and upstreams are not.
-    assert!(told.contains("source-lost"), "{told}");
-    assert!(told.contains("upstream-gone upstream=i-1") || told.contains("upstream=i-1"), "{told}");
-    assert!(!told.contains("other"), "{told}");
-    assert!(!told.contains("i-9"), "{told}");
+    let printed = text(&output.stdout);
+    let lines: Vec<&str> = printed.lines().collect();
+    assert!(lines[0].contains("request abc"), "{printed}");
+    assert!(lines.last().unwrap().starts_with("cause: upstream-failed: answered 502"), "{printed}");
+    assert!(lines.last().unwrap().contains("it may have run"), "{printed}");
+    assert!(lines.last().unwrap().contains("broken at i-1"), "{printed}");
+    let position_of = |part: &str| lines.iter().position(|line| line.contains(part)).unwrap();
+    assert!(position_of("overloaded") < position_of("chosen"), "{printed}");
+    // Context lines are included; other requests and other upstreams' lines are not.
+    assert!(printed.contains("source-lost"), "{printed}");
+    assert!(
+        printed.contains("upstream-gone upstream=i-1") || printed.contains("upstream=i-1"),
+        "{printed}"
+    );
+    assert!(!printed.contains("other"), "{printed}");
+    assert!(!printed.contains("i-9"), "{printed}");
 }
 
 #[test]
-fn broken_lines_are_named_and_passed_over() {
+fn unparsable_lines_are_reported_and_skipped() {
     let two = file(FRONT_2);
     let output = explain("abc", &[&two]);
     assert!(output.status.success());
@@ -71,7 +74,7 @@
 }
 
 #[test]
-fn standard_input_will_do() {
+fn reads_standard_input_without_files() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_jujubectl"))
         .args(["--json", "explain", "request", "abc"])
         .stdin(Stdio::piped())
@@ -80,14 +83,18 @@
         .unwrap();
     child.stdin.take().unwrap().write_all(FRONT_1.as_bytes()).unwrap();
     let output = child.wait_with_output().unwrap();
-    let story: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
-    assert_eq!(story["id"], "abc");
-    assert_eq!(story["lines"][0]["event"], "source-lost");
+    let timeline: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
+    assert_eq!(timeline["id"], "abc");
+    assert_eq!(timeline["lines"][0]["event"], "source-lost");
 }
 
 #[rstest]
 #[case::unknown_id("nobody", 1, "give the logs of all hosts")]
-fn an_unknown_request_has_a_remedy(#[case] id: &str, #[case] code: i32, #[case] remedy: &str) {
+fn unknown_request_is_an_error_with_remedy(
+    #[case] id: &str,
+    #[case] code: i32,
+    #[case] remedy: &str,
+) {
     let one = file(FRONT_1);
     let output = explain(id, &[&one]);
     assert_eq!(output.status.code(), Some(code));
@@ -95,7 +102,7 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_is_wrong_usage() {
+fn missing_file_is_wrong_usage() {
     let output = Command::new(env!("CARGO_BIN_EXE_jujubectl"))
         .args(["explain", "request", "abc", "/nowhere.log"])
         .output()
@@ -104,7 +111,7 @@
 }
 
 #[test]
-fn a_request_without_an_end_says_so() {
+fn request_without_logged_end_is_reported() {
     let cut: String = FRONT_1.lines().take(4).map(|line| format!("{line}\n")).collect();
     let output = explain("abc", &[&file(&cut)]);
     assert!(text(&output.stdout).contains("cause: no end is logged"));
