--- a/crates/ctl/src/configuration.rs
+++ b/crates/ctl/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Commands on configuration files.
+//! The `check`, `render` and `diff` commands.
 
 use crate::args::{Diff, Target};
 use crate::error::CtlError;
@@ -10,14 +10,14 @@
 use std::path::{Path, PathBuf};
 use std::{fmt, fs};
 
-/// A base and, if any, its overlay.
+/// Files of a base and, if any, its overlay.
 #[derive(Debug)]
 struct Pair {
     base: PathBuf,
     overlay: Option<PathBuf>,
 }
 
-/// What the check of one pair found.
+/// Problems and warnings of one pair.
 #[derive(Debug, Serialize)]
 struct CheckResult {
     base: PathBuf,
@@ -26,11 +26,11 @@
     warnings: Vec<Problem>,
 }
 
-/// Problems of a pair, with its files' names.
+/// Problems of a pair, each formatted with the name of its file.
 #[derive(Debug)]
 struct NamedProblems(Vec<String>);
 
-/// Checks a base alone or with each overlay.
+/// Checks a base alone, or with each overlay in turn.
 pub fn check(
     format: Format,
     base: &Path,
@@ -69,14 +69,14 @@
 
 /// Prints what publishing a pair would change.
 pub async fn diff(format: Format, args: Diff) -> Result<Status, Report<CtlError>> {
-    let new = Pair::of_files(&args.files).load()?;
+    let new = Pair::from_files(&args.files).load()?;
     let old = match (&args.against, args.operator) {
-        (Some(files), _) => Pair::of_files(files).load()?,
+        (Some(files), _) => Pair::from_files(files).load()?,
         (None, Some(operator)) => {
             let target = Target { operator, timeout_ms: args.timeout_ms };
             Client::new(&target)?.config_in_force().await?
         }
-        // The command line's rules keep this from happening.
+        // Unreachable: clap requires one of the two.
         (None, None) => new.clone(),
     };
     let changes = config::diff(&old, &new);
@@ -99,8 +99,8 @@
         Pair { base: base.to_owned(), overlay: overlay.map(Path::to_owned) }
     }
 
-    /// One or two files; the command line's rules let no other number through.
-    fn of_files(files: &[PathBuf]) -> Pair {
+    /// Builds a pair of one or two files; clap rejects any other number.
+    fn from_files(files: &[PathBuf]) -> Pair {
         let base = files.first().cloned().unwrap_or_default();
         Pair { base, overlay: files.get(1).cloned() }
     }
--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -1,19 +1,19 @@
-//! Explanations for people.
+//! Formats explanations as text.
 //!
-//! Reasons and steps are shown whatever fields they have: a newer process may give more
-//! of them than this tool knows.
+//! Prints all fields of reasons and steps, also those that this tool doesn't know, as a newer
+//! process may send more.
 
 use crate::output;
 use serde_json::{Map, Value};
 use std::fmt::Write as _;
 
-/// Why upstreams get work, or don't; `None` if the answer is no such explanation.
+/// Formats why upstreams take work or don't; `None` if the value isn't such an explanation.
 pub fn upstreams_text(explained: &Value) -> Option<String> {
     let texts: Option<Vec<String>> = explained.as_array()?.iter().map(upstream_text).collect();
     Some(texts?.join("\n"))
 }
 
-/// The steps of a call, a line each; `None` if the answer is no such explanation.
+/// Formats the steps of a call, one per line; `None` if the value isn't such an explanation.
 pub fn call_text(explained: &Value) -> Option<String> {
     let lines: Option<Vec<String>> = explained.as_array()?.iter().map(step_text).collect();
     Some(lines?.join("\n"))
@@ -24,16 +24,18 @@
     let name = |field: &str| Some(output::scalar_text(fields.get(field)?));
     let takes = if fields.get("takes_work")?.as_bool()? { "takes work" } else { "takes no work" };
     let mut text = format!("{} of {}: {takes}", name("upstream")?, name("service")?);
-    let shown = ["upstream", "service", "takes_work", "reasons"];
-    for (field, value) in fields.iter().filter(|(field, _)| !shown.contains(&field.as_str())) {
-        let _ = write!(text, "\n  {}: {}", words(field), flat(value));
+    let printed_elsewhere = ["upstream", "service", "takes_work", "reasons"];
+    for (field, value) in
+        fields.iter().filter(|(field, _)| !printed_elsewhere.contains(&field.as_str()))
+    {
+        let _ = write!(text, "\n  {}: {}", name_in_words(field), inline_text(value));
     }
     let reasons = fields.get("reasons")?.as_array()?;
     if reasons.is_empty() {
         text.push_str("\n  nothing speaks against it");
     }
     for reason in reasons {
-        let _ = write!(text, "\n  because: {}", named(reason));
+        let _ = write!(text, "\n  because: {}", variant_text(reason));
     }
     Some(text)
 }
@@ -41,42 +43,42 @@
 fn step_text(step: &Value) -> Option<String> {
     let fields = step.as_object()?;
     let at_ms = fields.get("at_ms")?.as_u64()?;
-    Some(format!("{at_ms} ms  {}", named(fields.get("decision")?)))
+    Some(format!("{at_ms} ms  {}", variant_text(fields.get("decision")?)))
 }
 
-/// A closed set's value: its name, then what belongs to it.
-fn named(value: &Value) -> String {
+/// Formats an enum value: the variant's name, then its fields.
+fn variant_text(value: &Value) -> String {
     match value {
-        Value::String(name) => words(name),
+        Value::String(name) => name_in_words(name),
         Value::Object(fields) => {
             let parts = fields.iter().map(|(name, value)| match value {
-                Value::Null => words(name),
-                value => format!("{}: {}", words(name), flat(value)),
+                Value::Null => name_in_words(name),
+                value => format!("{}: {}", name_in_words(name), inline_text(value)),
             });
             parts.collect::<Vec<_>>().join(", ")
         }
-        value => flat(value),
+        value => inline_text(value),
     }
 }
 
-/// A value on one line.
-fn flat(value: &Value) -> String {
+/// Formats a value on one line.
+fn inline_text(value: &Value) -> String {
     match value {
-        Value::Object(fields) => flat_fields(fields),
-        Value::Array(items) => items.iter().map(flat).collect::<Vec<_>>().join(", "),
+        Value::Object(fields) => inline_fields(fields),
+        Value::Array(items) => items.iter().map(inline_text).collect::<Vec<_>>().join(", "),
         value => output::scalar_text(value),
     }
 }
 
-fn flat_fields(fields: &Map<String, Value>) -> String {
+fn inline_fields(fields: &Map<String, Value>) -> String {
     let field = |(name, value): (&String, &Value)| match value {
-        Value::Object(fields) => format!("{} ({})", words(name), flat_fields(fields)),
-        value => format!("{} {}", words(name), flat(value)),
+        Value::Object(fields) => format!("{} ({})", name_in_words(name), inline_fields(fields)),
+        value => format!("{} {}", name_in_words(name), inline_text(value)),
     };
     fields.iter().map(field).collect::<Vec<_>>().join(", ")
 }
 
-/// A field's name as words; its unit stays.
-fn words(name: &str) -> String {
+/// A field's name with spaces for underscores.
+fn name_in_words(name: &str) -> String {
     output::scalar_text(&Value::String(name.replace('_', " ")))
 }
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -1,4 +1,4 @@
-//! How results and errors are printed.
+//! Prints results on stdout and errors on stderr, as text or JSON.
 
 use crate::error::CtlError;
 use error_stack::{FrameKind, Report, ResultExt};
@@ -11,7 +11,7 @@
 /// Spaces for one level of nesting.
 const INDENT: usize = 2;
 
-/// What the process exits with.
+/// Exit status of `jujubectl`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
     /// Done, nothing wrong.
@@ -30,7 +30,7 @@
     }
 }
 
-/// How results are printed.
+/// Output format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Format {
     /// For people.
@@ -40,7 +40,7 @@
 }
 
 impl Format {
-    /// As asked for on the command line.
+    /// The format that the `--json` flag selects.
     pub fn new(json: bool) -> Format {
         if json { Format::Json } else { Format::Text }
     }
@@ -84,7 +84,7 @@
     }
 }
 
-/// Messages below the error itself, the deepest first.
+/// Messages of the error's causes, root cause first.
 fn causes(report: &Report<CtlError>) -> Vec<String> {
     let contexts = report.frames().filter_map(|frame| match frame.kind() {
         FrameKind::Context(context) => Some(context.to_string()),
@@ -99,13 +99,13 @@
 fn print_line(text: &str) -> Result<(), Report<CtlError>> {
     let mut stdout = std::io::stdout().lock();
     match writeln!(stdout, "{text}").and_then(|()| stdout.flush()) {
-        // The reader of a pipe has seen enough.
+        // The reader of the pipe has closed it, which is no error.
         Err(error) if error.kind() == ErrorKind::BrokenPipe => Ok(()),
         result => result.change_context(CtlError::Output),
     }
 }
 
-/// A value as indented lines.
+/// Formats a value as indented lines.
 fn outline(value: &Value) -> String {
     let mut text = String::new();
     write_outline(&mut text, 0, value);
@@ -116,7 +116,7 @@
     match value {
         Value::Object(fields) => {
             for (name, value) in fields {
-                write_entry(text, depth, &format!("{}:", one_line(name)), value);
+                write_entry(text, depth, &format!("{}:", escape_control_characters(name)), value);
             }
         }
         Value::Array(items) => {
@@ -148,20 +148,21 @@
     }
 }
 
-/// A value that holds no other, on one line.
+/// Formats a scalar, or an empty object or array, on one line.
 pub fn scalar_text(value: &Value) -> String {
     match value {
         Value::Null => "none".to_owned(),
         Value::Bool(true) => "yes".to_owned(),
         Value::Bool(false) => "no".to_owned(),
-        Value::String(text) => one_line(text),
+        Value::String(text) => escape_control_characters(text),
         Value::Object(_) | Value::Array(_) => "none".to_owned(),
         Value::Number(number) => number.to_string(),
     }
 }
 
-/// A text that can't disturb the terminal: quoted if it holds control characters.
-fn one_line(text: &str) -> String {
+/// Quotes and escapes a text that contains control characters, which could garble the
+/// terminal.
+fn escape_control_characters(text: &str) -> String {
     match text.chars().any(char::is_control) {
         true => format!("{text:?}"),
         false => text.to_owned(),
