--- a/crates/ctl/tests/offline.rs
+++ b/crates/ctl/tests/offline.rs
@@ -1,4 +1,4 @@
-//! Commands on files: output, exit codes and remedies, by table.
+//! Commands on files: output, exit codes and remedies.
 #![allow(clippy::unwrap_used)]
 
 use rstest::rstest;
@@ -19,7 +19,7 @@
     std::str::from_utf8(bytes).unwrap()
 }
 
-/// Exit code, and what stdout and stderr contain.
+/// Checks the exit code, and that stdout and stderr contain these texts.
 fn check(args: &[&str], code: i32, stdout: &str, stderr: &str) {
     let output = run(args);
     assert_eq!(output.status.code(), Some(code), "{output:?}");
@@ -28,20 +28,20 @@
 }
 
 #[rstest]
-#[case::clean(&["check", PWANI, PWANI_SITE], 0, "dar-es-salaam.json: ok", "")]
-#[case::clean_json(&["check", "--json", HIMAL, HIMAL_SITE], 0, "\"problems\": []", "")]
+#[case::valid(&["check", PWANI, PWANI_SITE], 0, "dar-es-salaam.json: ok", "")]
+#[case::valid_json(&["check", "--json", HIMAL, HIMAL_SITE], 0, "\"problems\": []", "")]
 #[case::incomplete_base(
     &["check", HIMAL], 1, "problem(s)",
     "base.json: availability_zones: missing field: state it in the base or the overlay"
 )]
-#[case::one_overlay_of_two_is_bad(
+#[case::one_overlay_of_two_is_invalid(
     &["check", PWANI, PWANI_SITE, HIMAL_SITE], 1, "dar-es-salaam.json: ok",
     "services.catalogue.routes: missing field"
 )]
 #[case::problems_as_json(&["--json", "check", PWANI], 1, "\"kind\": \"missing-field\"", "")]
 #[case::render(&["render", PWANI, PWANI_SITE], 0, "\"slow_start_ms\": 5000", "")]
-#[case::render_bad(&["render", PWANI], 1, "", "remedy: mend the fields named above")]
-#[case::render_bad_json(&["render", "--json", PWANI], 1, "", "\"remedy\": \"mend the fields")]
+#[case::render_invalid(&["render", PWANI], 1, "", "remedy: mend the fields named above")]
+#[case::render_invalid_json(&["render", "--json", PWANI], 1, "", "\"remedy\": \"mend the fields")]
 #[case::no_difference(
     &["diff", PWANI, PWANI_SITE, "--against", PWANI, PWANI_SITE], 0, "no differences", ""
 )]
@@ -49,7 +49,7 @@
     &["diff", PWANI, PWANI_SITE, "--against", HIMAL, HIMAL_SITE], 0,
     "setting retry.max_attempts: 3 -> 2\nservice catalogue removed", ""
 )]
-#[case::difference_as_code(
+#[case::difference_as_exit_code(
     &["diff", "--exit-code", PWANI, PWANI_SITE, "--against", HIMAL, HIMAL_SITE], 1, "added", ""
 )]
 #[case::difference_as_json(
@@ -57,11 +57,11 @@
     "\"change\": \"service-added\"", ""
 )]
 #[case::no_such_file(&["check", "nowhere.json"], 2, "", "remedy: check the path")]
-#[case::nothing_to_compare_with(&["diff", PWANI, PWANI_SITE], 2, "", "--against")]
+#[case::diff_without_other_side(&["diff", PWANI, PWANI_SITE], 2, "", "--against")]
 #[case::host_name(&["health", "--operator", "localhost:1"], 2, "", "IP:PORT")]
 #[case::no_command(&[], 2, "", "Usage")]
 #[case::help(&["--help"], 0, "Exit codes:", "")]
-fn command_on_files(
+fn prints_result_and_exits_with_code(
     #[case] args: &[&str],
     #[case] code: i32,
     #[case] stdout: &str,
@@ -83,12 +83,16 @@
     1,
     "{overlay}: services.printer-portal.upstreams.portal-1.slots: must not be zero, found 0: give"
 )]
-#[case::few_connections(
+#[case::fewer_connections_than_slots(
     r#"{"services": {"printer-portal": {"upstreams": {"portal-1": {"connections": 5}}}}}"#,
     1,
     "{base} + {overlay}: services.printer-portal.upstreams.portal-1.connections: fewer"
 )]
-fn findings_name_the_file(#[case] overlay_text: &str, #[case] code: i32, #[case] expected: &str) {
+fn problems_and_warnings_name_their_file(
+    #[case] overlay_text: &str,
+    #[case] code: i32,
+    #[case] expected: &str,
+) {
     let folder = tempfile::tempdir().unwrap();
     let (base, overlay) = (folder.path().join("base.json"), folder.path().join("overlay.json"));
     std::fs::write(&base, run(&["render", PWANI, PWANI_SITE]).stdout).unwrap();
@@ -102,10 +106,10 @@
 }
 
 #[test]
-fn rendered_configuration_is_a_base_of_its_own() {
+fn rendered_configuration_is_a_complete_base() {
     let folder = tempfile::tempdir().unwrap();
-    let whole = folder.path().join("whole.json");
-    std::fs::write(&whole, run(&["render", HIMAL, HIMAL_SITE]).stdout).unwrap();
-    let whole = whole.to_str().unwrap();
-    check(&["diff", whole, "--against", HIMAL, HIMAL_SITE], 0, "no differences", "");
+    let rendered = folder.path().join("whole.json");
+    std::fs::write(&rendered, run(&["render", HIMAL, HIMAL_SITE]).stdout).unwrap();
+    let rendered = rendered.to_str().unwrap();
+    check(&["diff", rendered, "--against", HIMAL, HIMAL_SITE], 0, "no differences", "");
 }
--- a/crates/ctl/tests/process.rs
+++ b/crates/ctl/tests/process.rs
@@ -1,4 +1,4 @@
-//! Commands on a running process, against a stand-in for its operator address.
+//! Commands on a running process, against a mock of its operator address.
 #![allow(clippy::unwrap_used)]
 
 use rstest::rstest;
@@ -18,16 +18,16 @@
 const CALL: &str = r#"[{"at_ms": 4, "call": 7, "decision": "arrived"},
     {"at_ms": 9, "call": 7, "decision": {"sent": {"upstream": "u1", "seen": {"in_flight": 1}}}}]"#;
 
-/// How the stand-in behaves.
+/// How the mock server behaves.
 #[derive(Debug, Clone, Copy)]
 enum Mode {
     /// Ready, with a configuration in force.
     Serving,
-    /// Alive, but not ready; nothing in force.
+    /// Alive but not ready, without a configuration in force.
     Starting,
-    /// Not a process of this system.
-    Stranger,
-    /// Sends elsewhere.
+    /// Another kind of server.
+    OtherServer,
+    /// Redirects every request.
     Redirecting,
 }
 
@@ -36,7 +36,7 @@
     async fn handle(&self, req: &mut Request, res: &mut Response) {
         let path = req.uri().path().to_owned();
         match (self, req.method().as_str(), path.as_str()) {
-            (Mode::Stranger, ..) => res.render("hello"),
+            (Mode::OtherServer, ..) => res.render("hello"),
             (Mode::Redirecting, ..) => res.render(salvo::writing::Redirect::found("/livez")),
             (Mode::Starting, _, "/readyz") => {
                 res.status_code(StatusCode::SERVICE_UNAVAILABLE);
@@ -110,7 +110,7 @@
 #[case::dump_part(Mode::Serving, &["dump", "versions"], 0, "base: 3\noverlay: 5\n", "")]
 #[case::dump_nested_json(Mode::Serving, &["dump", "config.availability_zones.0", "--json"], 0,
     "\"kariakoo\"", "")]
-#[case::dump_no_part(Mode::Serving, &["dump", "ghost"], 1, "", "remedy: use one of: config, versions")]
+#[case::dump_unknown_part(Mode::Serving, &["dump", "ghost"], 1, "", "remedy: use one of: config, versions")]
 #[case::explain(Mode::Serving, &["explain", "upstream", "portal-1"], 0,
     "portal-1 of portal: takes no work\n  heard ms: none\n  load: 5, busy 2, queued 0\n  \
      new: \"a\\nb\"\n  open slots: 0\n  because: removed\n  \
@@ -124,7 +124,7 @@
     "\"at_ms\": 9", "")]
 #[case::explain_old_call(Mode::Serving, &["explain", "call", "7"], 1, "",
     "remedy: look at x-call")]
-#[case::explain_stranger(Mode::Serving, &["explain", "call", "8"], 1, "", "of the same release")]
+#[case::explain_unexpected_response(Mode::Serving, &["explain", "call", "8"], 1, "", "of the same release")]
 #[case::explain_unknown(Mode::Serving, &["explain", "upstream", "ghost"], 1, "",
     "remedy: check the id")]
 #[case::drain(Mode::Serving, &["drain"], 0, "is draining", "")]
@@ -134,10 +134,10 @@
     "setting callers.max_waiting: 7 -> 50\n", "")]
 #[case::diff_without_config(Mode::Starting, &["diff", PWANI, PWANI_SITE], 1, "",
     "no configuration in force")]
-#[case::stranger(Mode::Stranger, &["dump"], 1, "", "operator address, of the same release")]
+#[case::other_server(Mode::OtherServer, &["dump"], 1, "", "operator address, of the same release")]
 #[case::redirect_is_not_followed(Mode::Redirecting, &["dump"], 1, "", "answered 302")]
 #[tokio::test]
-async fn command_on_a_process(
+async fn prints_response_and_exits_with_code(
     #[case] mode: Mode,
     #[case] args: &[&str],
     #[case] code: i32,
@@ -152,8 +152,8 @@
 #[case::json(&["--json", "drain"], "\"error\": ")]
 #[case::diff(&["diff", PWANI, PWANI_SITE], "can't be reached")]
 #[tokio::test]
-async fn unreachable_process(#[case] args: &[&str], #[case] stderr: &str) {
-    // Bound but not listening: nobody else gets the port, and connections are refused.
+async fn unreachable_process_is_an_error(#[case] args: &[&str], #[case] stderr: &str) {
+    // Bound but not listening: reserves the port, and connections to it are refused.
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = socket.local_addr().unwrap().to_string();
