--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,6 +1,6 @@
 //! The operators' configuration: a base that all sites share, and an overlay for each site.
 //!
-//! [`merge`] applies an overlay to the base as a JSON Merge Patch (RFC 7396) and validates
+//! [`merge()`] applies an overlay to the base as a JSON Merge Patch (RFC 7396) and validates
 //! the result, a [`SiteConfig`]. This crate does no I/O.
 
 mod check;
