--- a/crates/ctl/tests/process.rs
+++ b/crates/ctl/tests/process.rs
@@ -110,7 +110,8 @@
 #[case::dump_part(Mode::Serving, &["dump", "versions"], 0, "base: 3\noverlay: 5\n", "")]
 #[case::dump_nested_json(Mode::Serving, &["dump", "config.availability_zones.0", "--json"], 0,
     "\"kariakoo\"", "")]
-#[case::dump_unknown_part(Mode::Serving, &["dump", "ghost"], 1, "", "remedy: use one of: config, versions")]
+#[case::dump_unknown_part(Mode::Serving, &["dump", "ghost"], 1, "",
+    "remedy: use one of: config, versions")]
 #[case::explain(Mode::Serving, &["explain", "upstream", "portal-1"], 0,
     "portal-1 of portal: takes no work\n  heard ms: none\n  load: 5, busy 2, queued 0\n  \
      new: \"a\\nb\"\n  open slots: 0\n  because: removed\n  \
@@ -124,7 +125,8 @@
     "\"at_ms\": 9", "")]
 #[case::explain_old_call(Mode::Serving, &["explain", "call", "7"], 1, "",
     "remedy: look at x-call")]
-#[case::explain_unexpected_response(Mode::Serving, &["explain", "call", "8"], 1, "", "of the same release")]
+#[case::explain_unexpected_response(Mode::Serving, &["explain", "call", "8"], 1, "",
+    "of the same release")]
 #[case::explain_unknown(Mode::Serving, &["explain", "upstream", "ghost"], 1, "",
     "remedy: check the id")]
 #[case::drain(Mode::Serving, &["drain"], 0, "is draining", "")]
@@ -134,7 +136,8 @@
     "setting callers.max_waiting: 7 -> 50\n", "")]
 #[case::diff_without_config(Mode::Starting, &["diff", PWANI, PWANI_SITE], 1, "",
     "no configuration in force")]
-#[case::other_server(Mode::OtherServer, &["dump"], 1, "", "operator address, of the same release")]
+#[case::other_server(Mode::OtherServer, &["dump"], 1, "",
+    "operator address, of the same release")]
 #[case::redirect_is_not_followed(Mode::Redirecting, &["dump"], 1, "", "answered 302")]
 #[tokio::test]
 async fn prints_response_and_exits_with_code(
