--- a/crates/published/src/gossip.rs
+++ b/crates/published/src/gossip.rs
@@ -160,7 +160,7 @@
         effects
     }
 
-    /// Removes lapsed entries and silent hosts; fetches what is missing of a partial state.
+    /// Removes lapsed entries and unresponsive hosts; fetches what is missing of a partial state.
     pub fn expire(&mut self, now_ms: Millis) -> Vec<Effect> {
         let mut effects = Vec::new();
         let state_changes = self.state.expire(now_ms);
--- a/crates/published/src/gossip/joining/answering.rs
+++ b/crates/published/src/gossip/joining/answering.rs
@@ -30,10 +30,10 @@
 /// 20 Mbit/s, or a tenth of a core, 20 ms.
 const MAX_ANSWERED: usize = 32;
 
-/// Bytes of answers that are sent in a row: a full link drops datagrams.
+/// Bytes of answers that are sent in one burst: a full link drops datagrams.
 const ANSWER_BURST_BYTES: ByteCount = ByteCount(12_000);
 
-/// Pause after each such row: twice the time that a link of 20 Mbit/s needs for it.
+/// Pause after each burst: twice the time that a link of 20 Mbit/s needs for it.
 const ANSWER_PAUSE_MS: Millis = Millis(10);
 
 /// Approximate sizes of an answer with a snapshot and of a redirect.
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Answers the waiting hosts, up to the limit for one row, once there is a state to send. The
+    /// Answers the waiting hosts, up to the limit for one burst, once there is a state to send. The
     /// most capable come first, since others fetch from them.
     pub(in crate::gossip) fn answer_next_joins(
         &mut self,
--- a/crates/published/src/members.rs
+++ b/crates/published/src/members.rs
@@ -3,7 +3,7 @@
 //! No list of hosts is published. A host sends hellos to the seed addresses of its settings, and
 //! hosts exchange their tables. The table decides which host reads the source for all, and by how
 //! many hosts a budget of the fleet is divided. That number must not shrink while hosts are only
-//! out of reach, so a silent host stays in the table for long.
+//! out of reach, so an unresponsive host stays in the table for long.
 
 mod recipients;
 
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Time after which a silent host is removed. Longer than any outage that may span a budget's
+/// Time without a message after which a host is removed. Longer than any outage that may span a budget's
 /// window of 10 s twice.
 const MEMBER_TIMEOUT_MS: Millis = Millis(60_000);
 
@@ -276,7 +276,7 @@
         true
     }
 
-    /// Removes hosts that were silent for too long, and returns them.
+    /// Removes hosts that sent nothing for too long, and returns them.
     ///
     /// Time in which this process was suspended doesn't count, since no message arrived then.
     /// Removing all hosts for it would let this one spend the fleet's budgets alone.
@@ -290,8 +290,8 @@
             self.stated_fleet = StatedFleet::default();
         }
         let each_ms = Millis(MEMBER_TIMEOUT_PER_HOST_MS.0.saturating_mul(self.others.len() as u64));
-        let silent_ms = MEMBER_TIMEOUT_MS.max(each_ms);
-        let has_expired = |peer: &Peer| now_ms.since(peer.last_heard_ms) > silent_ms;
+        let timeout_ms = MEMBER_TIMEOUT_MS.max(each_ms);
+        let has_expired = |peer: &Peer| now_ms.since(peer.last_heard_ms) > timeout_ms;
         let expired: Vec<HostId> = self
             .others
             .iter()
@@ -314,7 +314,7 @@
         self.others.values().filter(|peer| peer.weight > self.own_weight).count()
     }
 
-    /// Number of those that have read the source recently.
+    /// Number of hosts with a greater weight as reader that have read the source recently.
     pub fn active_preferred_readers(&self, now_ms: Millis) -> usize {
         let reads = |peer: &&Peer| {
             peer.read_ms.is_some_and(|at_ms| now_ms.since(at_ms) < READER_TIMEOUT_MS)
--- a/crates/published/src/members/recipients.rs
+++ b/crates/published/src/members/recipients.rs
@@ -61,7 +61,7 @@
     if hosts.len() <= RELAYS {
         return hosts.iter().map(|peer| peer.recipient(false)).collect();
     }
-    hosts.sort_by_key(|peer| (peer.is_silent(now_ms), Reverse(peer.weight)));
+    hosts.sort_by_key(|peer| (peer.is_unresponsive(now_ms), Reverse(peer.weight)));
     let ask_to_relay = |peer: &mut Peer| {
         peer.relay_asked_ms.get_or_insert(now_ms);
         peer.recipient(true)
@@ -74,7 +74,7 @@
         Recipient { address: self.member.address, should_relay }
     }
 
-    fn is_silent(&self, now_ms: Millis) -> bool {
+    fn is_unresponsive(&self, now_ms: Millis) -> bool {
         self.relay_asked_ms.is_some_and(|at_ms| now_ms.since(at_ms) >= RELAY_TIMEOUT_MS)
     }
 }
--- a/crates/published/src/reading.rs
+++ b/crates/published/src/reading.rs
@@ -35,7 +35,7 @@
 const LAST_TURN_MS: Millis = Millis(800);
 
 /// Number of hosts that failed to read after which the source counts as unavailable. So many in a
-/// row are unlikely where it refuses only some of them.
+/// row are unlikely where it refuses only some hosts.
 const OUTAGE_FAILED_READERS: usize = 6;
 
 /// Average interval between the fleet's reads during an outage, whatever the size of the fleet, so
@@ -146,7 +146,7 @@
             None if !self.has_first_page => ReadStep::FirstPage,
             None => ReadStep::Snapshot,
             Some(_) if self.needs_snapshot => ReadStep::Snapshot,
-            // A host that steps in for a silent reader reads at once, to inform the others.
+            // A host that steps in for an unresponsive reader reads at once, to inform the others.
             Some(at_ms) if now_ms.since(at_ms) >= MAX_AGE_MS => ReadStep::Changes(Millis::ZERO),
             Some(_) => ReadStep::Changes(LONG_POLL_MS),
         }
--- a/crates/published/src/state.rs
+++ b/crates/published/src/state.rs
@@ -27,7 +27,7 @@
 pub const SOURCE_OUTAGE_MS: Millis = Millis(2_200);
 
 /// Time after the source's return within which expired entries are registered again: two
-/// seconds as the platform specifies, and a tenth for the transfer.
+/// seconds as the platform specifies, and a tenth of that for the transfer.
 pub const REREGISTRATION_GRACE_MS: Millis = Millis(2_200);
 
 /// The state that this host knows to be published.
@@ -68,7 +68,8 @@
         self.revision
     }
 
-    /// The last time at which nothing newer than [`PublishedState::revision`] was published.
+    /// The last time at which it was known that nothing newer than [`PublishedState::revision`] was
+    /// published.
     pub fn confirmed_ms(&self) -> Option<Millis> {
         self.confirmed_ms
     }
--- a/crates/published/src/state/bootstrap.rs
+++ b/crates/published/src/state/bootstrap.rs
@@ -11,8 +11,8 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Largest number of upstreams that are sent in one datagram as the complete state: four
-/// kilobytes, with the routing well within it.
+/// Largest number of upstreams that are sent in one datagram as the complete state: about four
+/// kilobytes, the routing included.
 const MAX_COMPLETE_UPSTREAMS: usize = 72;
 
 /// Largest number of upstreams in an incomplete bootstrap snapshot: a host that hundreds ask at
--- a/crates/published/src/state/catch_up.rs
+++ b/crates/published/src/state/catch_up.rs
@@ -86,7 +86,7 @@
             Change::Written(Entry { revision: entry.revision, value })
         });
         let removed = self.removed.iter().map(|(id, tombstone)| tombstone.removal(id));
-        // The peer waits for a lapsed entry's return on its own.
+        // The peer applies a grace period of its own to a lapsed entry.
         let lapsed = self.lapsed.iter().map(|(id, lapsed)| lapsed.removal(id));
         let removed = removed.chain(lapsed).filter(|removal| is_newer(removal.revision));
         let removed = removed.map(Change::Removed);
