--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -142,7 +142,7 @@
 const INITIAL_PROBES_S: f64 = 2.0;
 
 /// Most tokens for an upstream, in seconds of the host's rate: the limit holds for the mean of a
-/// long time, and fresh loads matter most in bursts.
+/// long time, and fresh load reports matter most in bursts.
 const MAX_SAVED_PROBES_S: f64 = 30.0;
 
 impl ProbeBudget {
--- a/crates/dispatch/src/cold.rs
+++ b/crates/dispatch/src/cold.rs
@@ -21,7 +21,7 @@
     Unknown,
 }
 
-/// What an upstream's health checks and its entry said about being cold.
+/// What an upstream's health checks and its entry stated about being cold.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct WarmupState {
     since_ms: Millis,
@@ -61,7 +61,7 @@
         self.is_outdated = false;
     }
 
-    /// Records that the upstream was unreachable or evacuated: what it said before no longer
+    /// Records that the upstream was unreachable or evacuated: what it stated before no longer
     /// holds.
     pub(crate) fn mark_unknown(&mut self, now_ms: Millis) {
         self.begin(now_ms);
--- a/crates/dispatch/src/fleet_rate/sharing.rs
+++ b/crates/dispatch/src/fleet_rate/sharing.rs
@@ -14,7 +14,7 @@
 /// Allowance for the transit time of a message that lends a share.
 const TRANSIT_MS: Millis = Millis(100);
 
-/// Share of a cell's hosts that must lend to its primary scheduler before that spends the whole
+/// Share of a cell's hosts that must lend to its primary scheduler before it spends the whole
 /// rate, as long as the upstream shows no requests of others. Most hosts of a large fleet have no
 /// request within [`LENT_MS`], so waiting for all of them would leave capacity unused.
 const FULL_RATE_LENDERS: f64 = 0.15;
@@ -23,7 +23,7 @@
 const DISCOVERY_MS: Millis = Millis(2_000);
 
 /// Number of hosts that a fleet is assumed to have until then. Fleets up to this size stay within
-/// the rate even if all hosts start at once, and know no other.
+/// the rate even if all hosts start at once, before they know each other.
 const ASSUMED_HOSTS: u32 = 256;
 
 /// The size of the fleet that shares a rate, as a host must assume it this long after its start.
@@ -176,7 +176,7 @@
         lenders.map_or(0, |lenders| lenders.values().filter(is_lent).count() as u32)
     }
 
-    pub(crate) fn forget(&mut self, now_ms: Millis) {
+    pub(crate) fn expire(&mut self, now_ms: Millis) {
         self.lent_ms.retain(|_, lenders| {
             lenders.retain(|_, at_ms| now_ms.since(*at_ms) < LENT_MS);
             !lenders.is_empty()
--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -15,10 +15,10 @@
 //!
 //! Nothing is stored or sent while no upstream crashes.
 
-mod exchange;
 mod message;
 mod report;
 mod suspect;
+mod sync;
 mod verdict;
 
 pub use message::{QuarantineMessage, SuspectUpdate};
--- a/crates/dispatch/src/quarantine/suspect.rs
+++ b/crates/dispatch/src/quarantine/suspect.rs
@@ -3,8 +3,8 @@
 use domain::{HostId, Millis, UpstreamId};
 use published::RunStart;
 
-/// Maximum number of crashes that are remembered of a request: five trials after it was first
-/// held.
+/// Maximum number of crashes that are remembered of a request: those until it is first held, and
+/// those of five trials after that.
 const MAX_CRASHES: usize = 8;
 
 /// Two crashes of an upstream that doesn't report its start time count as different if they are
@@ -38,7 +38,7 @@
     crashes: Vec<Crash>,
     /// When an upstream last completed the request, or an operator released it.
     cleared_ms: Option<Millis>,
-    /// Peers have the same suspect, or it is pending.
+    /// Peers know of the suspect, or it is queued for broadcast.
     is_broadcast: bool,
     /// When it was held, several other requests had recent crashes, too.
     is_doubtful: bool,
@@ -62,7 +62,7 @@
         self.trial_until_ms.filter(|&until_ms| now_ms < until_ms)
     }
 
-    /// Whether peers have the same suspect, or it is pending.
+    /// Whether peers know of the suspect, or it is queued for broadcast.
     pub(super) fn is_broadcast(&self) -> bool {
         self.is_broadcast
     }
@@ -154,10 +154,10 @@
     fn is_same(&self, other: &Crash) -> bool {
         let apart_ms =
             self.crashed_ms.since(other.crashed_ms).max(other.crashed_ms.since(self.crashed_ms));
-        let is_broadcast = self.run != RunStart::default();
+        let is_run_known = self.run != RunStart::default();
         self.upstream == other.upstream
             && self.run == other.run
-            && (is_broadcast || apart_ms < MIN_RESTART_MS)
+            && (is_run_known || apart_ms < MIN_RESTART_MS)
     }
 }
 
--- a/crates/dispatch/src/quarantine/exchange.rs
+++ b/crates/dispatch/src/quarantine/sync.rs
@@ -1,4 +1,4 @@
-//! Exchange of suspects between hosts: what is sent when, and how it is merged.
+//! Synchronises the suspects between hosts: what is sent when, and how it is merged.
 
 use super::message::SuspectUpdate;
 use super::report::SuspectChange;
@@ -13,11 +13,11 @@
 /// Time after the latest change until all hosts know it, except those that were cut off.
 const SPREAD_MS: Millis = Millis::from_secs(10);
 
-/// Time between two digests until then. On average each host receives one as often.
-const DIGEST_MS: Millis = Millis(400);
+/// Interval at which a host sends a digest until then. On average it receives one as often.
+const DIGEST_INTERVAL_MS: Millis = Millis(400);
 
-/// Time between two digests after that: forty bytes each.
-const SETTLED_DIGEST_MS: Millis = Millis::from_secs(10);
+/// The same after that; each digest takes forty bytes.
+const SETTLED_DIGEST_INTERVAL_MS: Millis = Millis::from_secs(10);
 
 impl Quarantine {
     /// Takes the suspects to broadcast; none if there are none.
@@ -65,8 +65,8 @@
         let now_ms = with_offset(now_ms);
         let last_ms = self.suspects.values().map(Suspect::last_ms).max()?;
         let pause_ms = match now_ms.since(last_ms) < SPREAD_MS {
-            true => DIGEST_MS,
-            false => SETTLED_DIGEST_MS,
+            true => DIGEST_INTERVAL_MS,
+            false => SETTLED_DIGEST_INTERVAL_MS,
         };
         if now_ms.since(self.digest_sent_ms) < pause_ms {
             return None;
--- a/crates/dispatch/src/quarantine/verdict.rs
+++ b/crates/dispatch/src/quarantine/verdict.rs
@@ -8,20 +8,21 @@
 pub const MIN_CRASHES_FOR_TRIAL: usize = 2;
 
 /// Consecutive crashes from which on a request is held. Where upstreams crash now and then for
-/// other reasons, a bystander is in two of their crashes; in three only if a whole service goes
-/// down.
+/// other reasons, a bystander may be in flight in two of these crashes, but in three only if a whole
+/// service goes down.
 pub const MIN_CRASHES_FOR_HOLD: usize = 3;
 
-/// Hold after the third crash, and after each further one. A request crashes one more upstream a
-/// day, unless an operator releases it sooner.
+/// Duration of the hold after the third crash, and after each further one. A request that always
+/// crashes upstreams then costs one more of them a day, unless an operator releases it sooner.
 const HOLD_MS: [Millis; 2] = [Millis::from_secs(4 * 3_600), Millis::from_secs(24 * 3_600)];
 
-/// First hold where several other requests have crashes, too: upstreams crash one after the other
-/// for another reason, and what many callers ask for may run on three of them.
+/// Duration of the first hold if several other requests have recent crashes, too. Upstreams then
+/// probably crash for another reason, and a frequent request may have been in flight on three of
+/// them.
 const DOUBTFUL_HOLD_MS: Millis = Millis::from_secs(30);
 
 /// Number of other requests with [`MIN_CRASHES_FOR_TRIAL`] consecutive crashes that makes a hold
-/// doubtful: beside a request that crashes upstreams, hardly any other is in two of its crashes.
+/// doubtful: if one request causes the crashes, hardly any other is in flight in two of them.
 const DOUBTFUL_OTHERS: usize = 2;
 
 /// Maximum age of the other requests' crashes.
@@ -75,8 +76,8 @@
     others: impl Iterator<Item = &'s Suspect>,
 ) -> bool {
     let since_ms = suspect.last_ms() - DOUBTFUL_AGE_MS;
-    let is_alike = |other: &&Suspect| {
+    let has_recent_crashes = |other: &&Suspect| {
         other.crashes().len() >= MIN_CRASHES_FOR_TRIAL && other.last_ms() >= since_ms
     };
-    others.filter(is_alike).count() >= DOUBTFUL_OTHERS
+    others.filter(has_recent_crashes).count() >= DOUBTFUL_OTHERS
 }
--- a/crates/dispatch/src/scheduler.rs
+++ b/crates/dispatch/src/scheduler.rs
@@ -67,7 +67,7 @@
     probed_ms: FastMap<UpstreamId, Millis>,
     /// The last request that each host sent to each upstream.
     last_sent: FastMap<Requester, FastMap<UpstreamId, LastSent>>,
-    /// Requests placed after a wait since the last one that exceeded its upstream's best
+    /// Number of requests placed after a wait, since the last placement above an upstream's best
     /// concurrency.
     waited_since_trial: u32,
     last_expiry_ms: Millis,
@@ -169,7 +169,7 @@
         upstreams.record_overrun(&self.cell.service, outcome.took_ms, placed.work);
         let after = outcome.report.map(|report| report.slowness());
         let slowness = match (placed.slowness, after) {
-            // If other load on its machine changed meanwhile, it would distort the speed curve.
+            // A change of the machine's other load meanwhile would distort the speed curve.
             (Some(before), Some(after)) if (before - after).abs() < SLOWNESS_TOLERANCE * before => {
                 after
             }
--- a/crates/dispatch/src/scheduler/decision.rs
+++ b/crates/dispatch/src/scheduler/decision.rs
@@ -50,8 +50,9 @@
     pub(super) now_ms: Millis,
     pub(super) upstreams: &'a UpstreamSet,
     pub(super) forecast: &'a Forecast,
-    /// What was spent of fleet-wide rate limits, and the shares of them lent to this scheduler.
+    /// What is left of fleet-wide rate limits.
     pub(super) budget: &'a RateBudget,
+    /// The shares of these limits that are lent to this scheduler.
     pub(super) lent: LentShares,
     /// Number of requests that wait before this one.
     pub(super) ahead: usize,
@@ -67,7 +68,8 @@
     is_fresh: bool,
     /// Whether its rate limit allows a request now; if not, it may only be probed.
     may_place: bool,
-    /// Whether it has a free slot, other schedulers' requests included, as far as known.
+    /// Whether the request may be placed and, by estimate, a slot is free, also of the requests of
+    /// other hosts.
     has_room: bool,
 }
 
--- a/crates/dispatch/src/scheduler/directory.rs
+++ b/crates/dispatch/src/scheduler/directory.rs
@@ -50,7 +50,7 @@
         hosts.filter(is_eligible).min_by_key(|member| (Reverse(weight(member)), &member.host))
     }
 
-    /// The primary scheduler of a cell among these hosts, responsive or not.
+    /// The primary scheduler of a cell: the first in order among these hosts, responsive or not.
     pub fn primary<'m>(cell: &Cell, hosts: impl Iterator<Item = &'m Member>) -> Option<&'m Member> {
         Directory::default().choose(Millis::ZERO, cell, hosts)
     }
--- a/crates/dispatch/src/scheduler/forecast.rs
+++ b/crates/dispatch/src/scheduler/forecast.rs
@@ -90,7 +90,7 @@
         now_ms + wait_ms + self.start_margin(request) > request.due_ms
     }
 
-    /// When a request with the same time left would find capacity.
+    /// Time until a request with as much time left could be placed early enough.
     pub(super) fn retry_after_ms(
         &self,
         now_ms: Millis,
@@ -106,7 +106,8 @@
         excess_ms.clamp(MIN_RETRY_AFTER_MS, longest_ms)
     }
 
-    /// Zero before a service time is learned, unless rate limits determine it.
+    /// Expected wait behind `ahead` requests. Zero before a service time is learned, unless rate
+    /// limits determine it.
     fn wait_ms(&self, ahead: usize) -> Millis {
         if let Some(next_permit_in_ms) = self.next_permit_in_ms {
             let queue_ms = (ahead as f64 / self.throughput_per_ms.max(1e-6)).min(1e9) as u64;
@@ -125,8 +126,8 @@
 }
 
 /// The upstreams that accept requests, are reachable and don't fail much more than the others. If
-/// there are none: nothing in a cell of one zone, as other zones have some; in a cell of the whole
-/// service all that accept requests, since the state may be outdated.
+/// there are none, the result is empty for a cell of one zone, as other zones have some; for a cell
+/// of the whole service it is all that accept requests, since the state may be outdated.
 fn usable_upstreams(now_ms: Millis, cell: &Cell, upstreams: &UpstreamSet) -> Vec<UpstreamId> {
     let accepts_in_cell = |id: &&UpstreamId| {
         let is_in_cell = upstreams.get(id).is_some_and(|state| cell.contains(&state.entry));
--- a/crates/dispatch/src/scheduler/placement_rates.rs
+++ b/crates/dispatch/src/scheduler/placement_rates.rs
@@ -1,4 +1,4 @@
-//! Fleet-wide rate limits that upstreams stated, as far as a scheduler may spend them.
+//! A scheduler's part of the fleet-wide rate limits of upstreams.
 
 use super::fresh_report::fresh_report;
 use super::{Cell, Requester};
@@ -37,7 +37,7 @@
 
     /// Drops shares that are no longer lent, and upstreams without a rate limit.
     pub(super) fn expire(&mut self, now_ms: Millis, upstreams: &UpstreamSet) {
-        self.lenders.forget(now_ms);
+        self.lenders.expire(now_ms);
         self.budget.retain(|id| upstreams.fleet_rate(now_ms, id).is_some());
     }
 
--- a/crates/dispatch/src/service.rs
+++ b/crates/dispatch/src/service.rs
@@ -7,17 +7,18 @@
 use crate::subset::Subset;
 use domain::{Millis, PerSecond, Slots, UpstreamId};
 
-/// Weight of one response in the baseline of a service.
+/// Weight of one response in the moving averages of a service.
 const DURATION_WEIGHT: f64 = 0.05;
 
 /// The same for a response whose concurrency and slowness are known.
 const SAMPLE_WEIGHT: f64 = 0.02;
 
-/// Responses that were expected to take longer than this say little about the baseline.
+/// Responses that were expected to take longer than this multiple of the baseline say little about
+/// it.
 const MAX_BASELINE_WORK: f64 = 1.6;
 
-/// Range of one response's ratio of actual to expected duration, in the overrun of busy or slow
-/// upstreams.
+/// Range to which one response's ratio of actual to expected duration is limited in
+/// [`Service::overrun`].
 const OVERRUN_RANGE: (f64, f64) = (0.5, 4.0);
 
 /// Samples of the baseline that are needed before speed curves are learned by comparison with it.
@@ -42,7 +43,7 @@
     /// One per number of slots among its upstreams.
     curves: Vec<SpeedCurve>,
     baseline: Baseline,
-    /// Moving average of actual by expected duration, for busy or slow upstreams.
+    /// Moving average of the ratio of actual to expected duration, for busy or slow upstreams.
     overrun: f64,
 }
 
@@ -85,7 +86,8 @@
         }
     }
 
-    /// Records by how much a busy or slow upstream exceeded the expected duration.
+    /// Updates the overrun by a response whose expected work shows that the upstream was busy or
+    /// slow; ignores any other.
     pub(crate) fn record_overrun(&mut self, took_ms: Millis, work: f64) {
         let Some(baseline_ms) = self.baseline.mean_ms.filter(|_| work > MAX_BASELINE_WORK) else {
             return;
--- a/crates/dispatch/src/upstream.rs
+++ b/crates/dispatch/src/upstream.rs
@@ -70,7 +70,7 @@
     /// Whether it may receive new requests.
     pub eligibility: Eligibility,
     revision: Revision,
-    /// When it was first published, as far as this host knows.
+    /// When this host first saw an entry of its current process run.
     first_seen_ms: Millis,
     warmup: WarmupState,
     report: Option<(LoadReport, Millis)>,
@@ -139,7 +139,7 @@
         self.failures.at(now_ms) / (self.ended.at(now_ms) + 1.0)
     }
 
-    /// When it was first published, as far as this host knows.
+    /// When this host first saw an entry of its current process run.
     pub(crate) fn first_seen_ms(&self) -> Millis {
         self.first_seen_ms
     }
@@ -181,8 +181,8 @@
         self.warmup.record_warmup_left(now_ms, left_ms);
     }
 
-    /// Estimated slowdown, relative to the normal speed: as its report ages, the mean of the
-    /// service replaces it.
+    /// Estimated service time, in multiples of the baseline: the reported one, which the service's
+    /// mean replaces as the report ages.
     pub fn slowness(&self, now_ms: Millis, service: ServiceLoad) -> f64 {
         let Some((report, age_ms)) = self.report(now_ms) else { return service.slowness };
         service.slowness + (report.slowness() - service.slowness) * report_weight(age_ms)
--- a/crates/dispatch/src/upstream_set.rs
+++ b/crates/dispatch/src/upstream_set.rs
@@ -253,7 +253,7 @@
         self.services.get(service).map_or_else(ServiceLoad::default, |service| service.load)
     }
 
-    /// Records that a response took `took_ms`, where `work` usual service times were expected.
+    /// Records that a response took `took_ms`, where `work` baseline service times were expected.
     pub fn record_duration(&mut self, service: &ServiceName, took_ms: Millis, work: f64) {
         if let Some(service) = self.services.get_mut(service) {
             service.record_duration(took_ms, work);
@@ -268,15 +268,15 @@
         }
     }
 
-    /// Records that a response of a busy or slow upstream took `took_ms`, where `work` usual
-    /// service times were expected.
+    /// Records that a response took `took_ms`, where `work` baseline service times were expected.
+    /// Ignored unless `work` shows that the upstream was busy or slow.
     pub fn record_overrun(&mut self, service: &ServiceName, took_ms: Millis, work: f64) {
         if let Some(service) = self.services.get_mut(service) {
             service.record_overrun(took_ms, work);
         }
     }
 
-    /// The expected duration of `work` usual service times; none before anything was recorded.
+    /// The expected duration of `work` baseline service times; none before anything was recorded.
     pub fn expected_ms(&self, service: &ServiceName, work: f64) -> Option<Millis> {
         self.services.get(service).and_then(|service| service.expected_ms(work))
     }
--- a/crates/dispatch/src/upstream_set/limits.rs
+++ b/crates/dispatch/src/upstream_set/limits.rs
@@ -57,9 +57,9 @@
         !self.backpressure.is_empty() || service.is_some_and(|service| service.cold_rate.is_some())
     }
 
-    /// Time until a service accepts the next request of this host, where each eligible upstream
-    /// has a rate limit or asked this host to back off; none if one of them has no limit, or there
-    /// is none.
+    /// Estimated time until a service accepts another request, if every eligible upstream has a
+    /// rate limit or asked this host to back off; none if one of them did neither, or if there is
+    /// no eligible upstream.
     pub fn next_request_in(&self, now_ms: Millis, service: &ServiceName) -> Option<Millis> {
         let (mut per_s, mut shortest_backoff_ms) = (0.0, None);
         for id in self.of_service(service).iter().filter(|id| self.accepts_requests(id)) {
@@ -141,7 +141,7 @@
         changes
     }
 
-    /// Drops what upstreams stated that no longer exist.
+    /// Drops outdated backpressure; see [`BackpressureSet::forget`].
     pub fn forget_backpressure(&mut self, now_ms: Millis) {
         let UpstreamSet { backpressure, states, .. } = self;
         backpressure.forget(now_ms, |id| states.contains_key(id));
--- a/crates/dispatch/src/upstream_set/probe_targets.rs
+++ b/crates/dispatch/src/upstream_set/probe_targets.rs
@@ -12,7 +12,7 @@
 /// upstreams.
 const COST_JITTER: f64 = 0.5;
 
-/// Extra cost of an upstream without a connection, in usual service times: opening one takes a
+/// Extra cost of an upstream without a connection, in baseline service times: opening one takes a
 /// round trip, and upstreams accept a limited number.
 const CONNECT_COST: f64 = 1.0;
 
@@ -52,19 +52,18 @@
     /// Chooses up to `most` upstreams to probe: the cheapest ones, the host's subset and the
     /// wanted availability zones first.
     ///
-    /// Leaves out those in `excluded`, and temporarily excluded ones as long as there is any
-    /// other.
+    /// Leaves out those in `skipped`, and temporarily excluded ones as long as there is any other.
     pub fn choose_probe_targets(
         &self,
         now_ms: Millis,
         service: &ServiceName,
-        excluded: &[UpstreamId],
+        skipped: &[UpstreamId],
         (most, zone_scope): (usize, ZoneScope),
         is_connected: impl Fn(&UpstreamId) -> bool,
         rng: &mut Pcg64Mcg,
     ) -> Vec<UpstreamId> {
         let Some(service) = self.services.get(service) else { return Vec::new() };
-        let is_candidate = |id: &&UpstreamId| self.accepts_requests(id) && !excluded.contains(id);
+        let is_candidate = |id: &&UpstreamId| self.accepts_requests(id) && !skipped.contains(id);
         let candidates = service.upstreams.iter().filter(is_candidate);
         let mut ranked: Vec<Ranked<'_>> = candidates
             .filter_map(|id| {
