--- a/crates/dispatch/src/backpressure.rs
+++ b/crates/dispatch/src/backpressure.rs
@@ -4,13 +4,12 @@
 //! concerns this host only. An overloaded upstream limits the requests a second that it accepts
 //! from all hosts together. A leaving one wants no new request from any host for the rest of its
 //! process run. The last two concern the fleet, but only one host receives the response, so hosts
-//! broadcast them ([`message`]). The latest statement of the upstream wins, and statements of one
-//! process run don't apply to the next. [`crate::fleet_rate`] divides a limited rate among the
-//! hosts.
+//! broadcast them ([`message`]). What the upstream stated last applies, and nothing that one process
+//! run stated applies to the next. [`crate::fleet_rate`] divides a limited rate among the hosts.
 
 mod message;
 mod rate_limit;
-mod statements;
+mod run;
 
 pub use message::{BackpressureMessage, BackpressureUpdate};
 pub use rate_limit::LimitChange;
@@ -18,11 +17,11 @@
 use crate::fleet_rate::FleetRate;
 use domain::{FastMap, Millis, PerSecond, SignedTime, UpstreamId};
 use published::RunStart;
+use run::{Leaving, RunBackpressure};
 use serde::{Deserialize, Serialize};
-use statements::{Leaving, Statements};
 use std::cmp::Reverse;
 
-/// How long the statements of an unpublished upstream are kept: its entry may expire while the
+/// How long the backpressure of an unpublished upstream is kept: its entry may expire while the
 /// source is unreachable, and return.
 const RETENTION_MS: Millis = Millis(60_000);
 
@@ -72,7 +71,8 @@
 /// Backpressure of all upstreams that stated any.
 #[derive(Debug, Default)]
 pub struct BackpressureSet {
-    statements: FastMap<UpstreamId, Statements>,
+    /// What the latest known process run of each upstream stated.
+    latest_runs: FastMap<UpstreamId, RunBackpressure>,
 }
 
 impl BackpressureSet {
@@ -89,15 +89,15 @@
         if !self.may_change_anything(at.0, kind, stated) {
             return None;
         }
-        let statements = self.get_mut(at)?;
-        statements.refresh(now_ms, stated);
+        let known = self.get_mut(at)?;
+        known.refresh(now_ms, stated);
         let for_ms = stated.backoff_ms.unwrap_or_default().min(LONGEST_BACKOFF_MS);
-        let begins = statements.start_backoff(now_ms, for_ms);
+        let begins = known.start_backoff(now_ms, for_ms);
         let limit = match (kind, stated.rate_limit) {
             (ResponseKind::Failed | ResponseKind::HealthCheck, None) => None,
-            (_, rate) => statements.limit.record(now_ms, rate, sent_before),
+            (_, rate) => known.limit.record(now_ms, rate, sent_before),
         };
-        let is_leaving = stated.is_leaving && statements.record_leaving(Leaving::Pending);
+        let is_leaving = stated.is_leaving && known.record_leaving(Leaving::Pending);
         let backoff_ms = begins.then_some(for_ms);
         let change = BackpressureChange { upstream: at.0.clone(), limit, backoff_ms, is_leaving };
         (limit.is_some() || begins || is_leaving).then_some(change)
@@ -118,14 +118,14 @@
         if !self.may_change_anything(at.0, kind, stated) {
             return;
         }
-        let Some(statements) = self.get_mut(at) else { return };
-        statements.refresh(now_ms, stated);
+        let Some(known) = self.get_mut(at) else { return };
+        known.refresh(now_ms, stated);
         if stated.is_leaving {
-            statements.record_leaving(Leaving::Known);
+            known.record_leaving(Leaving::Known);
         }
         if kind == ResponseKind::Served || stated.rate_limit.is_some() {
             let stated_now = SignedTime::from_age(now_ms, Millis::ZERO);
-            statements.limit.merge(now_ms, stated_now, stated.rate_limit, sent_before);
+            known.limit.merge(now_ms, stated_now, stated.rate_limit, sent_before);
         }
     }
 
@@ -138,14 +138,14 @@
     ) -> Vec<BackpressureChange> {
         let merge_one = |update: BackpressureUpdate| {
             let stated = SignedTime::from_age(now_ms, update.age_ms);
-            let statements = self.get_mut((&update.upstream, update.run))?;
-            statements.stated_ms = now_ms;
+            let known = self.get_mut((&update.upstream, update.run))?;
+            known.stated_ms = now_ms;
             let before = sent_before(&update.upstream);
-            let limit = statements.limit.merge(now_ms, stated, update.rate_limit, before);
-            let is_leaving = update.is_leaving && !statements.is_leaving();
+            let limit = known.limit.merge(now_ms, stated, update.rate_limit, before);
+            let is_leaving = update.is_leaving && !known.is_leaving();
             if update.is_leaving {
                 // A host that received an update doesn't broadcast it.
-                statements.leaving = Leaving::Known;
+                known.leaving = Leaving::Known;
             }
             let change = BackpressureChange {
                 upstream: update.upstream,
@@ -166,12 +166,12 @@
 
     /// Whether a process run of an upstream announced that it is leaving.
     pub fn is_leaving(&self, id: &UpstreamId, run: RunStart) -> bool {
-        self.get(id, run).is_some_and(Statements::is_leaving)
+        self.get(id, run).is_some_and(RunBackpressure::is_leaving)
     }
 
     /// Number of upstreams that announced that they are leaving.
     pub fn count_leaving(&self) -> usize {
-        self.statements.values().filter(|statements| statements.is_leaving()).count()
+        self.latest_runs.values().filter(|known| known.is_leaving()).count()
     }
 
     /// Time for which this host must still back off from a process run of an upstream; none if it
@@ -182,65 +182,63 @@
         id: &UpstreamId,
         run: RunStart,
     ) -> Option<Millis> {
-        let statements = self.get(id, run)?;
-        (now_ms < statements.backoff_until_ms).then(|| statements.backoff_until_ms.since(now_ms))
+        let known = self.get(id, run)?;
+        (now_ms < known.backoff_until_ms).then(|| known.backoff_until_ms.since(now_ms))
     }
 
     /// Upstreams that this host backs off from.
     pub fn upstreams_in_backoff(&self, now_ms: Millis) -> impl Iterator<Item = &UpstreamId> {
-        let in_force = move |(_, statements): &(&UpstreamId, &Statements)| {
-            now_ms < statements.backoff_until_ms
-        };
-        self.statements.iter().filter(in_force).map(|(id, _)| id)
+        let in_force =
+            move |(_, known): &(&UpstreamId, &RunBackpressure)| now_ms < known.backoff_until_ms;
+        self.latest_runs.iter().filter(in_force).map(|(id, _)| id)
     }
 
     /// Whether no upstream stated anything.
     pub fn is_empty(&self) -> bool {
-        self.statements.is_empty()
+        self.latest_runs.is_empty()
     }
 
     /// Number of upstreams with a rate limit.
     pub fn count_limited(&self) -> usize {
-        self.statements.values().filter(|statements| statements.limit.in_force().is_some()).count()
+        self.latest_runs.values().filter(|known| known.limit.in_force().is_some()).count()
     }
 
     /// Digest of everything that peers need to know: equal on hosts that have the same.
     pub fn digest(&self) -> u64 {
-        let digests = self.statements.iter().filter_map(|(id, statements)| statements.digest(id));
+        let digests = self.latest_runs.iter().filter_map(|(id, known)| known.digest(id));
         digests.fold(0, u64::wrapping_add)
     }
 
     /// Whether there are updates to broadcast.
     pub fn has_pending(&self) -> bool {
-        self.statements.values().any(Statements::has_pending)
+        self.latest_runs.values().any(RunBackpressure::has_pending)
     }
 
     /// Takes the updates to broadcast; they count as received from then on.
     pub fn take_pending(&mut self, now_ms: Millis) -> Vec<BackpressureUpdate> {
-        let pending = self.statements.iter_mut().filter_map(|(id, statements)| {
-            let has_pending = statements.take_pending();
-            has_pending.then(|| statements.to_update(now_ms, id))
+        let pending = self.latest_runs.iter_mut().filter_map(|(id, known)| {
+            let has_pending = known.take_pending();
+            has_pending.then(|| known.to_update(now_ms, id))
         });
         pending.take(MAX_UPDATES).collect()
     }
 
     /// All updates for a peer with a different digest; if they exceed one message, the latest.
     pub fn export(&self, now_ms: Millis) -> Vec<BackpressureUpdate> {
-        let mut concerning_peers: Vec<(&UpstreamId, &Statements)> =
-            self.statements.iter().filter(|(_, statements)| statements.concerns_peers()).collect();
-        concerning_peers.sort_by_key(|(id, statements)| (Reverse(statements.stated_ms), *id));
+        let mut concerning_peers: Vec<(&UpstreamId, &RunBackpressure)> =
+            self.latest_runs.iter().filter(|(_, known)| known.concerns_peers()).collect();
+        concerning_peers.sort_by_key(|(id, known)| (Reverse(known.stated_ms), *id));
         let latest = concerning_peers.into_iter().take(MAX_UPDATES);
-        latest.map(|(id, statements)| statements.to_update(now_ms, id)).collect()
+        latest.map(|(id, known)| known.to_update(now_ms, id)).collect()
     }
 
     /// Drops upstreams that stated nothing recently and that this host doesn't back off from,
     /// unless they still exist and have a limit or are leaving.
     pub fn forget(&mut self, now_ms: Millis, is_known: impl Fn(&UpstreamId) -> bool) {
-        self.statements.retain(|id, statements| {
-            let is_recent = now_ms.since(statements.stated_ms) < RETENTION_MS;
-            let is_backing_off = now_ms < statements.backoff_until_ms;
-            let is_limited_or_leaving =
-                statements.limit.in_force().is_some() || statements.is_leaving();
+        self.latest_runs.retain(|id, known| {
+            let is_recent = now_ms.since(known.stated_ms) < RETENTION_MS;
+            let is_backing_off = now_ms < known.backoff_until_ms;
+            let is_limited_or_leaving = known.limit.in_force().is_some() || known.is_leaving();
             is_recent || is_backing_off || (is_known(id) && is_limited_or_leaving)
         });
     }
@@ -253,21 +251,21 @@
         kind: ResponseKind,
         stated: Backpressure,
     ) -> bool {
-        let ends_something = kind == ResponseKind::Served && self.statements.contains_key(id);
+        let ends_something = kind == ResponseKind::Served && self.latest_runs.contains_key(id);
         stated != Backpressure::default() || ends_something
     }
 
-    /// The statements of a process run, if there are any.
-    fn get(&self, id: &UpstreamId, run: RunStart) -> Option<&Statements> {
-        self.statements.get(id).filter(|statements| statements.run.is_same(run))
+    /// The backpressure of a process run, if it stated any.
+    fn get(&self, id: &UpstreamId, run: RunStart) -> Option<&RunBackpressure> {
+        self.latest_runs.get(id).filter(|known| known.run.is_same(run))
     }
 
     /// The same, mutable; a later process run replaces an earlier one. None for an ended run.
-    fn get_mut(&mut self, (id, run): (&UpstreamId, RunStart)) -> Option<&mut Statements> {
-        let statements = self.statements.entry(id.clone()).or_insert_with(|| Statements::new(run));
-        if run.is_after(statements.run) {
-            *statements = Statements::new(run);
+    fn get_mut(&mut self, (id, run): (&UpstreamId, RunStart)) -> Option<&mut RunBackpressure> {
+        let known = self.latest_runs.entry(id.clone()).or_insert_with(|| RunBackpressure::new(run));
+        if run.is_after(known.run) {
+            *known = RunBackpressure::new(run);
         }
-        statements.run.is_same(run).then_some(statements)
+        known.run.is_same(run).then_some(known)
     }
 }
--- a/crates/dispatch/src/backpressure/message.rs
+++ b/crates/dispatch/src/backpressure/message.rs
@@ -28,7 +28,7 @@
     },
 }
 
-/// The latest statements of an upstream.
+/// What an upstream stated last.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BackpressureUpdate {
     /// The upstream.
--- a/crates/dispatch/src/backpressure/statements.rs
+++ b/crates/dispatch/src/backpressure/run.rs
@@ -7,11 +7,11 @@
 use rustc_hash::FxHasher;
 use std::hash::{Hash, Hasher};
 
-/// The latest statements of one process run.
+/// The backpressure that one process run stated last.
 #[derive(Debug)]
-pub(super) struct Statements {
+pub(super) struct RunBackpressure {
     pub(super) run: RunStart,
-    /// When the upstream, or a peer, last stated anything.
+    /// When this host last received anything that the run stated, directly or from a peer.
     pub(super) stated_ms: Millis,
     pub(super) limit: RateLimit,
     /// End of this host's backoff, which isn't broadcast.
@@ -29,9 +29,9 @@
     Known,
 }
 
-impl Statements {
-    pub(super) fn new(run: RunStart) -> Statements {
-        Statements {
+impl RunBackpressure {
+    pub(super) fn new(run: RunStart) -> RunBackpressure {
+        RunBackpressure {
             run,
             stated_ms: Millis::ZERO,
             limit: RateLimit::default(),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Refreshes the time of the last statement, unless the response states nothing.
+    /// Updates `stated_ms`, unless the response states nothing.
     pub(super) fn refresh(&mut self, now_ms: Millis, stated: Backpressure) {
         if stated != Backpressure::default() {
             self.stated_ms = now_ms;
@@ -58,7 +58,7 @@
         self.leaving != Leaving::No
     }
 
-    /// Whether peers need an update, if only that a limit is over.
+    /// Whether there is anything to send to peers, if only that a limit has ended.
     pub(super) fn concerns_peers(&self) -> bool {
         self.limit.was_stated() || self.is_leaving()
     }
--- a/crates/published/src/gossip/effect.rs
+++ b/crates/published/src/gossip/effect.rs
@@ -46,7 +46,7 @@
         /// The delay.
         delay_ms: Millis,
     },
-    /// A host left, or was silent for too long.
+    /// A host left, or sent nothing for too long.
     PeerRemoved(HostId),
 }
 
