--- a/crates/dispatch/src/backpressure.rs
+++ b/crates/dispatch/src/backpressure.rs
@@ -4,8 +4,9 @@
 //! concerns this host only. An overloaded upstream limits the requests a second that it accepts
 //! from all hosts together. A leaving one wants no new request from any host for the rest of its
 //! process run. The last two concern the fleet, but only one host receives the response, so hosts
-//! broadcast them ([`message`]). What the upstream stated last applies, and nothing that one process
-//! run stated applies to the next. [`crate::fleet_rate`] divides a limited rate among the hosts.
+//! broadcast them ([`message`]). What the upstream stated last applies, and nothing that one
+//! process run stated applies to the next. [`crate::fleet_rate`] divides a limited rate among the
+//! hosts.
 
 mod message;
 mod rate_limit;
--- a/crates/dispatch/src/quarantine/verdict.rs
+++ b/crates/dispatch/src/quarantine/verdict.rs
@@ -8,8 +8,8 @@
 pub const MIN_CRASHES_FOR_TRIAL: usize = 2;
 
 /// Consecutive crashes from which on a request is held. Where upstreams crash now and then for
-/// other reasons, a bystander may be in flight in two of these crashes, but in three only if a whole
-/// service goes down.
+/// other reasons, a bystander may be in flight in two of these crashes, but in three only if a
+/// whole service goes down.
 pub const MIN_CRASHES_FOR_HOLD: usize = 3;
 
 /// Duration of the hold after the third crash, and after each further one. A request that always
--- a/crates/published/src/members.rs
+++ b/crates/published/src/members.rs
@@ -14,8 +14,8 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Time without a message after which a host is removed. Longer than any outage that may span a budget's
-/// window of 10 s twice.
+/// Time without a message after which a host is removed. Longer than any outage that may span a
+/// budget's window of 10 s twice.
 const MEMBER_TIMEOUT_MS: Millis = Millis(60_000);
 
 /// The same for each host of a large fleet; the greater of the two applies. In a fleet of `n` hosts
