--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -51,7 +51,7 @@
     request: Rc<Request>,
     progress: Rc<RequestProgress>,
     task: JoinHandle<Reply>,
-    repeat: Idempotency,
+    idempotency: Idempotency,
 }
 
 impl PendingRequest {
@@ -335,12 +335,12 @@
     /// Starts to serve the complete request; false if there is none or it has to wait for earlier ones.
     fn start_request(&mut self) -> bool {
         let Some(request) = self.complete.take() else { return false };
-        let repeat = match request.head.is_safe_method() {
+        let idempotency = match request.head.is_safe_method() {
             true => Idempotency::Idempotent,
             false => Idempotency::AtMostOnce,
         };
-        let are_all_idempotent = repeat == Idempotency::Idempotent
-            && self.pending.iter().all(|pending| pending.repeat == Idempotency::Idempotent);
+        let are_all_idempotent = idempotency == Idempotency::Idempotent
+            && self.pending.iter().all(|pending| pending.idempotency == Idempotency::Idempotent);
         let may_start =
             self.pending.is_empty() || are_all_idempotent && self.pending.len() < MAX_PIPELINED;
         if !may_start {
@@ -356,7 +356,7 @@
             Rc::clone(&progress),
         );
         let task = tokio::task::spawn_local(serving);
-        self.pending.push_back(PendingRequest { request, progress, task, repeat });
+        self.pending.push_back(PendingRequest { request, progress, task, idempotency });
         true
     }
 
--- a/crates/gateway/src/ingress/render.rs
+++ b/crates/gateway/src/ingress/render.rs
@@ -6,7 +6,7 @@
 use dispatch::attempts::Refusal;
 use rand::RngExt;
 
-/// Share by which `retry-after` is extended at most, at random, so that refused callers spread out.
+/// Largest share by which `retry-after` is extended at random, so that refused callers spread out.
 const RETRY_JITTER: f64 = 1.0;
 
 /// Returns the bytes of a response or refusal.
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -57,7 +57,7 @@
     /// Services whose requests had to wait, until when they count as busy.
     busy_until: RefCell<FastMap<ServiceName, Millis>>,
     /// Notified when requests wait for a placement.
-    is_waiting: Notify,
+    requests_waiting: Notify,
 }
 
 /// A scheduler's reply to a submitted request.
@@ -95,7 +95,7 @@
             pending: RefCell::default(),
             next_ticket: std::cell::Cell::new(seed % FIRST_TICKETS),
             busy_until: RefCell::default(),
-            is_waiting: Notify::new(),
+            requests_waiting: Notify::new(),
         }
     }
 
--- a/crates/gateway/src/placement/scheduling.rs
+++ b/crates/gateway/src/placement/scheduling.rs
@@ -58,7 +58,7 @@
                 host.clock.sleep_until(next_ms).await;
                 reschedule(&host);
             }
-            None => host.placement.is_waiting.notified().await,
+            None => host.placement.requests_waiting.notified().await,
         }
     }
 }
@@ -78,6 +78,6 @@
         }
     }
     if host.placement.schedulers.borrow().waiting_count() > 0 {
-        host.placement.is_waiting.notify_one();
+        host.placement.requests_waiting.notify_one();
     }
 }
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -10,7 +10,7 @@
 mod health_check;
 
 pub use connect::{connect, is_trusted};
-pub use health_check::{note_report, read_load, refresh};
+pub use health_check::{read_load, record_report, refresh};
 
 use crate::connection::Connection;
 use crate::host::Host;
@@ -82,7 +82,7 @@
         }
         probe_count += candidates.len();
         let (chosen, responses) =
-            probe_round(host, service, candidates, ProbeBudgetKind::Own).await;
+            probe_round(host, service, candidates, ProbeBudgetKind::Fleet).await;
         response_count += responses;
         best = better(host, best, chosen);
         if best.as_ref().is_some_and(|best| best.cost <= GOOD_ENOUGH_COST) {
@@ -101,7 +101,7 @@
     }
 }
 
-/// Probes upstreams of the local availability zone, and returns one that is idle and not slowed.
+/// Probes upstreams of the local availability zone, and returns one that is idle and not slow.
 pub async fn choose_idle_local(host: &Rc<Host>, service: &ServiceName) -> Option<Chosen> {
     let candidates: Vec<UpstreamId> = {
         let upstreams = host.upstreams.borrow();
@@ -109,12 +109,12 @@
         let part = (PROBES_PER_ROUND, ZoneScope::Local);
         let pool = host.pool.borrow();
         let is_connected = |id: &UpstreamId| pool.has_connection(id);
-        let held_back = host.rate_limited_upstreams(&upstreams, service);
+        let rate_limited = host.rate_limited_upstreams(&upstreams, service);
         let now_ms = host.now_ms();
         let local = upstreams.choose_probe_targets(
             now_ms,
             service,
-            &held_back,
+            &rate_limited,
             part,
             is_connected,
             &mut rng,
@@ -146,7 +146,7 @@
     let pool = host.pool.borrow();
     let is_connected = |id: &UpstreamId| pool.has_connection(id);
     let now_ms = host.now_ms();
-    // Upstreams held back now may be probed in a later round.
+    // Upstreams that may not get a request now may be probed in a later round.
     let mut left_out =
         [excluded.clone(), host.rate_limited_upstreams(&upstreams, service)].concat();
     let mut candidates = Vec::new();
--- a/crates/gateway/src/probe/connect.rs
+++ b/crates/gateway/src/probe/connect.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest wait for a response that verifies a connection that was idle for long.
+/// Longest wait for the response to a probe that verifies a pooled connection.
 const VERIFY_LIMIT: Duration = Duration::from_millis(25);
 
 /// A connection that was used within this time is taken to be alive without a probe.
@@ -25,12 +25,12 @@
 pub async fn connect(
     host: &Rc<Host>,
     upstream: &UpstreamId,
-    repeat: Idempotency,
+    idempotency: Idempotency,
 ) -> Option<Connection> {
     let run = host.upstreams.borrow().current_run(upstream);
     let pooled = host.pool.borrow_mut().take(upstream, run);
     match pooled {
-        Some(connection) if is_trusted(&connection, repeat) && !connection.is_doubtful() => {
+        Some(connection) if is_trusted(&connection, idempotency) && !connection.is_doubtful() => {
             return Some(connection);
         }
         Some(connection) => {
@@ -51,23 +51,23 @@
 
 /// Whether a connection was used so recently that it is taken to be alive without a probe. Checked
 /// again right before sending: the machine may have been suspended since the connection was chosen.
-pub fn is_trusted(connection: &Connection, repeat: Idempotency) -> bool {
-    let trusted = match repeat {
+pub fn is_trusted(connection: &Connection, idempotency: Idempotency) -> bool {
+    let trusted = match idempotency {
         Idempotency::Idempotent => UNPROBED_IDLE_IDEMPOTENT,
         Idempotency::AtMostOnce => UNPROBED_IDLE,
     };
     connection.idle() < trusted
 }
 
-/// Probes on a connection that was idle for long, if the budget allows: that is cheaper than
-/// opening a new one.
+/// Probes on a connection that was idle for long or whose last response was an error, if the
+/// budget allows: that is cheaper than opening a new one.
 async fn verify(
     host: &Rc<Host>,
     (upstream, run): (&UpstreamId, RunStart),
     mut connection: Connection,
 ) -> Option<Connection> {
     let service = host.upstreams.borrow().get(upstream)?.entry.service.clone();
-    if !take_probe(host, &service, upstream, ProbeBudgetKind::Own) {
+    if !take_probe(host, &service, upstream, ProbeBudgetKind::Fleet) {
         return None;
     }
     let path = health_path(host, &service);
--- a/crates/gateway/src/probe/health_check.rs
+++ b/crates/gateway/src/probe/health_check.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) enum ProbeBudgetKind {
     /// Shared by all hosts.
-    Own,
+    Fleet,
     /// Shared by the hosts of the upstream's availability zone.
     LocalZone,
 }
@@ -54,7 +54,8 @@
     host.log.write(&LogEvent::AskFailed { upstream, failure });
 }
 
-/// Probes an upstream for this host's schedulers; false if their probe budget is spent.
+/// Probes an upstream for this host's schedulers; false if their probe budget is spent
+/// or the upstream is unknown.
 pub async fn refresh(host: &Rc<Host>, upstream: &UpstreamId) -> bool {
     let is_allowed =
         host.placement.probe_budget.borrow_mut().try_spend(host.now_ms(), upstream, 1.0);
@@ -75,7 +76,7 @@
 ) -> bool {
     let (upstreams, fleet) = (host.upstreams.borrow(), host.fleet_size());
     let (budget, sharing) = match budget {
-        ProbeBudgetKind::Own => {
+        ProbeBudgetKind::Fleet => {
             (&host.probe_budget, upstreams.probing_hosts(service, upstream, fleet))
         }
         ProbeBudgetKind::LocalZone => {
@@ -160,6 +161,7 @@
 ) -> Result<bool, ProbeFailure> {
     host.metrics.probe_sent();
     let request = format!("GET {path} HTTP/1.1\r\nhost: upstream\r\n\r\n");
+    // A probe has no id: a response that echoes one belongs to an earlier request.
     let id = Some((host.dialect.request_id, ""));
     let expected = Expected { has_body: true, id, read_timeouts: None };
     let response = connection.exchange(request.as_bytes(), expected).await;
@@ -170,7 +172,7 @@
         return Err(ProbeFailure::OtherUpstream);
     }
     if let Some(report) = read_load(host, &response.head.fields) {
-        note_report(host, (upstream, run), report);
+        record_report(host, (upstream, run), report);
     }
     record_cold(host, (upstream, run), &response.head.fields);
     let stated = backpressure::read_fields(host, upstream, &response.head.fields);
@@ -184,7 +186,7 @@
 }
 
 /// Records a load report of a run of an upstream.
-pub fn note_report(host: &Host, upstream: (&UpstreamId, RunStart), report: LoadReport) {
+pub fn record_report(host: &Host, upstream: (&UpstreamId, RunStart), report: LoadReport) {
     let now_ms: Millis = host.now_ms();
     host.upstreams.borrow_mut().record_report(now_ms, upstream, report);
 }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -116,9 +116,9 @@
     };
     wait_for_routing(&host, &request).await;
     let (route, outcome) = match route(&host, &caller, &request, &progress, &id) {
-        Ok(serving) => {
-            let name = serving.matched.route.name.clone();
-            (name, serving.run().await)
+        Ok(routed) => {
+            let name = routed.matched.route.name.clone();
+            (name, routed.run().await)
         }
         Err(refusal) => (String::new(), Err(refusal)),
     };
--- a/crates/gateway/src/serve/admission.rs
+++ b/crates/gateway/src/serve/admission.rs
@@ -9,8 +9,8 @@
 use domain::{Millis, RequestFingerprint};
 
 impl RoutedRequest {
-    /// Waits while another host sends a request with the same fingerprint as a trial; refuses the
-    /// request if it is quarantined.
+    /// Waits while a trial with the same fingerprint is in flight, from this host or another; refuses
+    /// the request if it is quarantined.
     pub(super) async fn wait_for_trial(&self, counts: &AttemptCounts) -> Result<(), Refusal> {
         loop {
             let changed = self.host.quarantine_changed.notified();
--- a/crates/gateway/src/serve/attempt.rs
+++ b/crates/gateway/src/serve/attempt.rs
@@ -23,7 +23,7 @@
     bytes: Vec<u8>,
     guard: AttemptGuard,
     sent_ms: Millis,
-    /// It is the only request with its fingerprint that the fleet has in flight.
+    /// Whether it is a trial: the only request with its fingerprint that the fleet has in flight.
     is_trial: bool,
 }
 
@@ -32,7 +32,7 @@
 pub(super) struct AttemptCounts {
     /// Upstreams that it was sent to, or that could not be used.
     pub(super) tried: Vec<UpstreamId>,
-    /// Attempts.
+    /// All attempts, also those of which no byte was sent.
     pub(super) sent: u32,
     /// Attempts of which any byte was sent.
     pub(super) arrived: u32,
--- a/crates/gateway/src/serve/attempt_end.rs
+++ b/crates/gateway/src/serve/attempt_end.rs
@@ -65,7 +65,7 @@
                 if uses_retry_budget {
                     self.host.retry_budget.borrow_mut().try_spend(now_ms, &self.service);
                 }
-                if let (Some(response), true) = (response, is_own_failure(ended.end)) {
+                if let (Some(response), true) = (response, is_upstream_failure(ended.end)) {
                     *error_response = Some(ErrorResponse { upstream: ended.upstream, response });
                 }
                 None
@@ -117,7 +117,7 @@
     }
 }
 
-fn is_own_failure(end: AttemptResult) -> bool {
+fn is_upstream_failure(end: AttemptResult) -> bool {
     matches!(end, AttemptResult::Answered(response) if attempts::is_upstream_failure(response))
 }
 
--- a/crates/gateway/src/serve/attempt_guard.rs
+++ b/crates/gateway/src/serve/attempt_guard.rs
@@ -94,7 +94,7 @@
     fn record_end(&self, outcome: Outcome) {
         // Before the end: the load that a response reports includes the request itself.
         if let Some(report) = outcome.report {
-            probe::note_report(&self.host, (&self.upstream, self.run), report);
+            probe::record_report(&self.host, (&self.upstream, self.run), report);
         }
         let now_ms = self.host.now_ms();
         let mut upstreams = self.host.upstreams.borrow_mut();
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Whether this host's own state follows the attempt; if this host placed the request as its
-    /// scheduler, the scheduler does so.
+    /// Whether the guard records the attempt in this host's state. If this host's scheduler placed
+    /// the request, the scheduler records it there.
     fn updates_own_state(&self) -> bool {
         self.placement.as_ref().is_none_or(|placement| !placement.is_own())
     }
--- a/crates/gateway/src/serve/routing.rs
+++ b/crates/gateway/src/serve/routing.rs
@@ -6,7 +6,7 @@
 use domain::{Millis, ServiceName};
 use published::Route;
 
-/// Shortest time that a request waits for the first routing: enough for two attempts to read it.
+/// A request may wait at least this long for the first routing: enough for two attempts to read it.
 const ROUTING_WAIT_MS: Millis = Millis(120);
 
 /// Share of the caller's deadline that a request may wait for the first routing. When all hosts
--- a/crates/gateway/src/serve/selection.rs
+++ b/crates/gateway/src/serve/selection.rs
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Finds an idle upstream of the local zone. Only for a first attempt while no requests wait:
-    /// the round trip to the scheduler would take most of the time, and may cross zones.
+    /// Finds an idle upstream of the local zone. Only a first attempt skips the scheduler, and only
+    /// while no requests wait: the round trip would be most of the delay, and may cross zones.
     async fn find_idle_local(&self, begun_ms: Millis, counts: &AttemptCounts) -> Option<Selected> {
         if counts.sent > 0 || self.host.placement.is_busy(&self.service, begun_ms) {
             return None;
@@ -300,7 +300,7 @@
         verdict
     }
 
-    /// Checks whether the caller disconnected unnoticed while this process was paused. If so, it
+    /// Checks whether the caller disconnected unnoticed while this process was suspended. If so, it
     /// never returns: the task that reads the caller's connection cancels the request.
     async fn check_caller(&self) {
         if self.caller.is_gone_now() && !self.progress.continues_without_caller.get() {
