--- a/crates/gateway/src/backpressure.rs
+++ b/crates/gateway/src/backpressure.rs
@@ -21,11 +21,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest delay before peers are told. Several hosts may receive the same statement within some
-/// milliseconds; a host that a peer told meanwhile sends nothing.
+/// Longest delay, drawn at random, before a statement is sent to peers. Several hosts may receive
+/// the same statement within some milliseconds; one that has it from a peer by then sends nothing.
 const SEND_WITHIN: Duration = Duration::from_millis(20);
 
-/// Times at which the same is sent to peers: a datagram may be lost.
+/// Times, from the first, at which the same update is sent to peers: a datagram may be lost.
 const SEND_AFTER_MS: [Millis; 3] = [Millis::ZERO, Millis(100), Millis(300)];
 
 /// Status of a response by another upstream that has taken over the address.
@@ -34,7 +34,7 @@
 /// HTTP header with the seconds for which a refused host is to back off.
 const RETRY_AFTER: &str = "retry-after";
 
-/// Share by which a backoff is extended at most, at random, so that hosts that were refused together
+/// Largest share by which a backoff is extended at random, so that hosts that were refused together
 /// don't return together.
 const BACKOFF_JITTER: f64 = 0.1;
 
@@ -57,7 +57,7 @@
     Backpressure { backoff_ms, ..read_fields(host, upstream, &head.fields) }
 }
 
-/// Reads the backpressure that a response to a health check states.
+/// Reads the backpressure that a response to a probe states.
 pub fn read_fields(host: &Host, upstream: &UpstreamId, fields: &HeadFields) -> Backpressure {
     let rate_limit = read_rate_limit(host, upstream, fields);
     Backpressure { rate_limit, backoff_ms: None, is_leaving: read_leaving(host, upstream, fields) }
@@ -164,7 +164,8 @@
     fleet_message::request_from_random_peers(host, &request);
 }
 
-/// Handles a peer's message; true if the peer is to be told that this host is up.
+/// Handles a peer's message; true if this host relayed it and is to
+/// acknowledge that to the peer.
 pub fn handle_message(host: &Host, message: BackpressureMessage, from: SocketAddr) -> bool {
     let own_digest = host.upstreams.borrow().backpressure().digest();
     match message {
@@ -190,11 +191,11 @@
     false
 }
 
-/// Sends what peers weren't told yet, several times: a host that misses it sends one request too
-/// many.
+/// Sends pending updates to peers, several times: a host that misses one may send the upstream a
+/// request that it refuses.
 async fn send_to_fleet(host: &Host) {
-    let untold = host.upstreams.borrow_mut().backpressure_mut().take_pending(host.now_ms());
-    if untold.is_empty() {
+    let pending = host.upstreams.borrow_mut().backpressure_mut().take_pending(host.now_ms());
+    if pending.is_empty() {
         return;
     }
     let begun_ms = host.now_ms();
@@ -204,7 +205,7 @@
             age_ms: update.age_ms + host.now_ms().since(begun_ms),
             ..update.clone()
         };
-        let updates: Vec<BackpressureUpdate> = untold.iter().map(later).collect();
+        let updates: Vec<BackpressureUpdate> = pending.iter().map(later).collect();
         fleet_message::broadcast(host, |should_relay| {
             stated_message(updates.clone(), should_relay)
         });
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -26,8 +26,8 @@
 /// Idle time after which a connection isn't reused, if the upstream states no `keep-alive` timeout.
 const DEFAULT_IDLE: Duration = Duration::from_secs(8);
 
-/// Share of a stated idle time that is used. A connection that was idle for long is probed first, so
-/// one that was closed early costs no request.
+/// Share of a stated idle time for which a connection is reused. One that was idle for long is
+/// probed first, so an early close costs no request.
 const IDLE_SHARE: f64 = 0.9;
 
 /// Responses to earlier requests that are skipped before the exchange fails.
@@ -169,7 +169,7 @@
                 }
             }
             match self.read_some() {
-                Ok(Some(0)) => return self.at_end(reader, unsent.len() < request.len()),
+                Ok(Some(0)) => return self.handle_close(reader, unsent.len() < request.len()),
                 Ok(Some(_)) => {
                     has_received = true;
                     if let Some(response) = reader.read_from(&mut self.buffer)? {
@@ -215,12 +215,12 @@
         }
     }
 
-    fn at_end(
+    fn handle_close(
         &mut self,
         reader: ResponseReader<'_>,
         was_sent: bool,
     ) -> Result<Response, ExchangeError> {
-        match reader.at_end() {
+        match reader.complete_at_close() {
             Some(response) => Ok(response),
             None => Err(broken(was_sent)),
         }
@@ -290,7 +290,8 @@
         }
     }
 
-    fn at_end(mut self) -> Option<Response> {
+    /// Returns the response that the end of the connection completes, if its body is framed so.
+    fn complete_at_close(mut self) -> Option<Response> {
         let (head, body) = (self.head.take()?, self.body.take()?);
         let is_whole = body.framing() == Framing::UntilClose && !self.is_stray(&head);
         is_whole.then(|| Response { head, body: body.into_body() })
--- a/crates/gateway/src/fleet_message.rs
+++ b/crates/gateway/src/fleet_message.rs
@@ -1,8 +1,8 @@
 //! Datagrams to the whole fleet, or to some of its hosts.
 //!
 //! A broadcast goes to all hosts of the local availability zone, and to a few hosts of each other
-//! zone, which relay it there. Lost datagrams are not sent again: hosts compare digests from time
-//! to time instead.
+//! zone, which relay it there. Lost datagrams aren't detected here: hosts compare digests from
+//! time to time instead.
 
 use crate::event_log::LogEvent;
 use crate::host::Host;
@@ -19,8 +19,8 @@
 /// more.
 pub const START_REQUESTS: u32 = 2;
 
-/// Sends a message to all hosts. Its argument is whether the recipient should relay it in its
-/// zone.
+/// Sends a message to all hosts. `message` builds it, given whether the recipient should relay it
+/// in its zone.
 pub fn broadcast(host: &Host, message: impl Fn(bool) -> Datagram) {
     let recipients = host.gossip.borrow_mut().recipients(host.now_ms());
     for should_relay in [true, false] {
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -56,7 +56,7 @@
 /// Pause after a socket error, which an earlier datagram to an unreachable host can cause.
 const RECEIVE_PAUSE: Duration = Duration::from_millis(5);
 
-/// This host's connection to its peers.
+/// Exchanges messages with this host's peers.
 #[derive(Debug)]
 pub struct Peers {
     host: Rc<Host>,
--- a/crates/gateway/src/peers/codec.rs
+++ b/crates/gateway/src/peers/codec.rs
@@ -1,8 +1,8 @@
 //! The encoding of messages between hosts: the protocol's version, then `postcard`.
 //!
 //! During a rollout, hosts of two releases receive each other's messages. Messages of another
-//! version are rejected rather than misread. Until the rollout ends, each release then has its
-//! own host that reads the source.
+//! version are rejected rather than misread. Until the rollout ends, each release has its own host
+//! that reads the source.
 
 use dispatch::backpressure::BackpressureMessage;
 use dispatch::quarantine::QuarantineMessage;
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -69,9 +69,9 @@
     }
 }
 
-/// Whether a pooled connection to the upstream is still open: then it is full, and refuses only new
-/// connections. Called after a round trip, by which time connections that a crash closed are seen
-/// to be closed.
+/// Whether a pooled connection to the upstream is still open: then the upstream is full, and
+/// refuses only new connections. Called after a round trip, by which time connections that a crash
+/// closed are seen to be closed.
 fn is_connected(host: &Host, entry: &Upstream) -> bool {
     let pooled = host.pool.borrow_mut().take(&entry.id, entry.run);
     let is_open = pooled.is_some();
@@ -175,7 +175,8 @@
     fleet_message::request_from_random_peers(host, &request);
 }
 
-/// Handles a peer's message; true if the peer is to be told that this host is up.
+/// Handles a peer's message; true if this host relayed it and is to
+/// acknowledge that to the peer.
 pub fn handle_message(host: &Host, message: QuarantineMessage, from: SocketAddr) -> bool {
     let now_ms = host.now_ms();
     let own_digest = host.quarantine.borrow().digest();
@@ -203,10 +204,10 @@
     false
 }
 
-/// Sends what peers weren't told yet to all hosts.
+/// Sends pending changes to all hosts.
 fn send_to_fleet(host: &Host) {
-    let untold = host.quarantine.borrow_mut().take_pending(host.now_ms());
-    let Some(suspects) = untold else { return };
+    let pending = host.quarantine.borrow_mut().take_pending(host.now_ms());
+    let Some(suspects) = pending else { return };
     fleet_message::broadcast(host, |should_relay| {
         let suspects = suspects.clone();
         Datagram::Quarantine(QuarantineMessage::Suspects { suspects, should_relay })
