--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -24,7 +24,7 @@
     pub not_run: &'static str,
     /// Load report of the upstream.
     pub load: &'static str,
-    /// Milliseconds for which the upstream stays cold, on responses to health checks; absent on
+    /// Milliseconds for which the upstream stays cold, on responses to probes; absent on
     /// those of a warm one.
     pub cold_ms: &'static str,
     /// Requests per second that the upstream accepts from all hosts together, as long as it
--- a/crates/gateway/src/event_log/event.rs
+++ b/crates/gateway/src/event_log/event.rs
@@ -177,7 +177,7 @@
         sendings: u32,
         picture_age_ms: Option<Millis>,
     },
-    /// The caller hung up.
+    /// The caller disconnected.
     CallerGone { id: &'a str, after_ms: Millis, sendings: u32, runs_on: bool },
 }
 
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -85,7 +85,8 @@
     pub log: EventLog,
     /// Metrics.
     pub metrics: Metrics,
-    /// Notified when the published state changed or was confirmed.
+    /// Notified when the published state changed or was confirmed, and when a caller begins to wait
+    /// for the first routing.
     pub state_updated: Notify,
     /// Whether callers wait for the first routing, or did.
     pub is_routing_awaited: Cell<bool>,
@@ -189,7 +190,7 @@
         !self.is_stopping() && self.table.borrow().is_some()
     }
 
-    /// Whether only some upstreams are known: requests are served, but none is scheduled.
+    /// Whether only some upstreams are known: this host serves requests, but schedules none.
     pub fn is_partial(&self) -> bool {
         self.published_state().is_partial()
     }
@@ -253,7 +254,7 @@
         }
     }
 
-    /// Closes idle connections that have aged, whose upstream is gone or restarted, or that exceed
+    /// Closes idle connections that expired, whose upstream is gone or restarted, or that exceed
     /// this host's limit.
     pub fn prune_connections(&self) {
         let state = self.published_state();
--- a/crates/gateway/src/host/rate_limits.rs
+++ b/crates/gateway/src/host/rate_limits.rs
@@ -1,5 +1,5 @@
 //! What this host may send, without a scheduler, to upstreams that state a rate limit or ask
-//! for a pause.
+//! it to back off.
 
 use super::Host;
 use dispatch::{FleetSize, UpstreamSet, assumed_fleet};
--- a/crates/gateway/src/http1/write.rs
+++ b/crates/gateway/src/http1/write.rs
@@ -68,8 +68,8 @@
     }
 
     /// Ends the head, with the length unless the status forbids it, and adds the body.
-    pub fn body(mut self, status: u16, body: &[u8], closes: bool) -> Vec<u8> {
-        if closes {
+    pub fn body(mut self, status: u16, body: &[u8], should_close: bool) -> Vec<u8> {
+        if should_close {
             write_field(&mut self.out, "connection", b"close");
         }
         if !matches!(status, 204 | 304) {
@@ -81,8 +81,8 @@
     }
 
     /// Ends a head without a body, as for `HEAD`; `length` is that of the omitted body.
-    pub fn no_body(mut self, length: Option<&[u8]>, closes: bool) -> Vec<u8> {
-        if closes {
+    pub fn no_body(mut self, length: Option<&[u8]>, should_close: bool) -> Vec<u8> {
+        if should_close {
             write_field(&mut self.out, "connection", b"close");
         }
         if let Some(length) = length {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,4 +1,5 @@
-//! The process of a host, where upstreams register themselves and no list of hosts is published.
+//! The process of a host, for systems in which upstreams register themselves and no list of hosts
+//! is published.
 //!
 //! It does the IO for two pure crates: [`published`] (the published state and how it spreads) and
 //! [`dispatch`] (which upstream gets a request, and what may be retried). One thread runs
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Counts a health check that was sent to an upstream.
+    /// Counts a probe that was sent to an upstream.
     pub fn probe_sent(&self) {
         self.probes.add(1, &[]);
     }
@@ -165,12 +165,12 @@
         self.peer_bytes.add(bytes as u64, &[]);
     }
 
-    /// Counts a request whose caller hung up.
+    /// Counts a request whose caller disconnected.
     pub fn caller_hung_up(&self) {
         self.callers_hung_up.add(1, &[]);
     }
 
-    /// Counts a request that an upstream broke off, by whether the upstream crashed.
+    /// Counts an attempt whose connection broke, by whether the upstream crashed.
     pub fn upstream_broke_off(&self, has_crashed: bool) {
         self.broken_off.add(1, &[KeyValue::new("has_crashed", has_crashed)]);
     }
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -129,7 +129,7 @@
     }
 }
 
-fn respond(host: &Host, head: &RequestHead, audience: Audience, closes: bool) -> Vec<u8> {
+fn respond(host: &Host, head: &RequestHead, audience: Audience, should_close: bool) -> Vec<u8> {
     let fingerprint_to_lift = match head.method.as_str() {
         "POST" if audience == Audience::Operators => head.path().strip_prefix(LIFT_PATH),
         _ => None,
@@ -144,7 +144,7 @@
         },
     };
     let writer = ResponseWriter::new(status).field("content-type", content_type.as_bytes());
-    writer.body(status, body.as_bytes(), closes)
+    writer.body(status, body.as_bytes(), should_close)
 }
 
 fn readiness(host: &Host) -> (u16, &'static str, String) {
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -46,7 +46,7 @@
 pub struct FleetLimits {
     /// Limits of retries.
     pub retries: FleetRetryLimits,
-    /// Rate of health checks that one upstream gets from all hosts together.
+    /// Rate of probes that one upstream gets from all hosts together.
     pub probes: PerSecond,
     /// Time between the signal to stop and the kill of the process.
     pub stop_ms: Millis,
