--- a/crates/gateway/src/probe/connect.rs
+++ b/crates/gateway/src/probe/connect.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest wait for a response that verifies a connection that was idle for long.
+/// Longest wait for the response to a probe that verifies a pooled connection.
 const VERIFY_LIMIT: Duration = Duration::from_millis(25);
 
 /// A connection that was used within this time is taken to be alive without a probe.
@@ -59,8 +59,8 @@
     connection.idle() < trusted
 }
 
-/// Probes on a connection that was idle for long, if the budget allows: that is cheaper than
-/// opening a new one.
+/// Probes on a connection that was idle for long or whose last response was an error, if the
+/// budget allows: that is cheaper than opening a new one.
 async fn verify(
     host: &Rc<Host>,
     (upstream, run): (&UpstreamId, RunStart),
--- a/crates/gateway/src/probe/health_check.rs
+++ b/crates/gateway/src/probe/health_check.rs
@@ -54,7 +54,8 @@
     host.log.write(&LogEvent::AskFailed { upstream, failure });
 }
 
-/// Probes an upstream for this host's schedulers; false if their probe budget is spent.
+/// Probes an upstream for this host's schedulers; false if their probe budget is spent
+/// or the upstream is unknown.
 pub async fn refresh(host: &Rc<Host>, upstream: &UpstreamId) -> bool {
     let is_allowed =
         host.placement.probe_budget.borrow_mut().try_spend(host.now_ms(), upstream, 1.0);
@@ -160,6 +161,7 @@
 ) -> Result<bool, ProbeFailure> {
     host.metrics.probe_sent();
     let request = format!("GET {path} HTTP/1.1\r\nhost: upstream\r\n\r\n");
+    // A probe has no id: a response that echoes one belongs to an earlier request.
     let id = Some((host.dialect.request_id, ""));
     let expected = Expected { has_body: true, id, read_timeouts: None };
     let response = connection.exchange(request.as_bytes(), expected).await;
