--- a/crates/dispatch/src/backpressure.rs
+++ b/crates/dispatch/src/backpressure.rs
@@ -1,4 +1,4 @@
-//! Load and leaving that upstreams state in their responses, and what follows for hosts.
+//! Backpressure: what upstreams state in their responses about their load, and about leaving.
 //!
 //! An upstream that refuses a request may ask the host that sent it to back off for a while; that
 //! concerns this host only. An overloaded upstream limits the requests a second that it accepts
@@ -22,8 +22,8 @@
 use statements::{Leaving, Statements};
 use std::cmp::Reverse;
 
-/// How long statements of an upstream are kept that isn't published: its entry may expire while
-/// the source is unreachable, and return.
+/// How long the statements of an unpublished upstream are kept: its entry may expire while the
+/// source is unreachable, and return.
 const RETENTION_MS: Millis = Millis(60_000);
 
 /// Upstreams in one message: 30 bytes each, to fit in one datagram.
@@ -239,8 +239,9 @@
         self.statements.retain(|id, statements| {
             let is_recent = now_ms.since(statements.stated_ms) < RETENTION_MS;
             let is_backing_off = now_ms < statements.backoff_until_ms;
-            let holds = statements.limit.in_force().is_some() || statements.is_leaving();
-            is_recent || is_backing_off || (is_known(id) && holds)
+            let is_limited_or_leaving =
+                statements.limit.in_force().is_some() || statements.is_leaving();
+            is_recent || is_backing_off || (is_known(id) && is_limited_or_leaving)
         });
     }
 
--- a/crates/gateway/tests/evacuation.rs
+++ b/crates/gateway/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! A zone is evacuated while callers send requests: none is lost, and none arrives there.
+//! While a zone is evacuated, no request is lost, and none is sent to the zone.
 #![allow(clippy::unwrap_used)]
 
 mod support;
@@ -8,13 +8,13 @@
 use std::sync::Arc;
 use support::caller::{Caller, get, post};
 use support::source::Published;
-use support::upstream::{Act, StandInUpstream};
-use support::{callers, on_one_thread, ready, until, upstream_item};
+use support::upstream::{Behaviour, StandInUpstream};
+use support::{caller_address, on_one_thread, ready, upstream_item, wait_until};
 
 const ZONE: &str = "kariakoo";
 
-/// In force at a host in touch within this time of the source's word.
-const IN_FORCE_MS: Millis = Millis(300);
+/// Longest time between the publication of an evacuation and its taking effect.
+const MAX_DELAY_MS: Millis = Millis(300);
 
 fn evacuate(published: &Published) {
     published.write("op/evacuate", Item::Evacuation(ZONE.parse().unwrap()));
@@ -31,53 +31,54 @@
 #[test]
 fn requests_move_to_the_other_zone_and_come_back() {
     on_one_thread(async {
-        let (near, far) =
+        let (local, remote) =
             (StandInUpstream::start("i-1").await, StandInUpstream::start("i-2").await);
-        let (gateway, published) = ready(&[&near]).await;
-        published.write("servers", in_zone(&far, "temeke"));
-        until("both are known", || gateway.host().published_state().upstreams().count() == 2).await;
-        let mut caller = Caller::connect(callers(&gateway)).await;
+        let (gateway, published) = ready(&[&local]).await;
+        published.write("servers", in_zone(&remote, "temeke"));
+        wait_until("both are known", || gateway.host().published_state().upstreams().count() == 2)
+            .await;
+        let mut caller = Caller::connect(caller_address(&gateway)).await;
         for number in 0..5 {
             assert_eq!(
-                caller.ask(&post("/once/x", &format!("a-{number}"), "{}")).await.status,
+                caller.exchange(&post("/once/x", &format!("a-{number}"), "{}")).await.status,
                 200
             );
         }
-        assert_eq!(near.seen().len(), 5);
-        let begun_ms = gateway.host().now_ms();
+        assert_eq!(local.requests().len(), 5);
+        let start_ms = gateway.host().now_ms();
         evacuate(&published);
         let is_in_force =
             || gateway.host().published_state().evacuations().contains(&ZONE.parse().unwrap());
-        until("it is in force", is_in_force).await;
-        assert!(gateway.host().now_ms().since(begun_ms) <= IN_FORCE_MS);
+        wait_until("it is in force", is_in_force).await;
+        assert!(gateway.host().now_ms().since(start_ms) <= MAX_DELAY_MS);
         for number in 0..5 {
             assert_eq!(
-                caller.ask(&post("/once/x", &format!("b-{number}"), "{}")).await.status,
+                caller.exchange(&post("/once/x", &format!("b-{number}"), "{}")).await.status,
                 200
             );
         }
-        assert_eq!((near.seen().len(), far.seen().len()), (5, 5));
+        assert_eq!((local.requests().len(), remote.requests().len()), (5, 5));
         published.end_evacuation(&ZONE.parse().unwrap());
-        until("it is taken back", || !is_in_force()).await;
+        wait_until("it has ended", || !is_in_force()).await;
         for number in 0..5 {
             assert_eq!(
-                caller.ask(&post("/once/x", &format!("c-{number}"), "{}")).await.status,
+                caller.exchange(&post("/once/x", &format!("c-{number}"), "{}")).await.status,
                 200
             );
         }
-        assert_eq!((near.seen().len(), far.seen().len()), (10, 5));
+        assert_eq!((local.requests().len(), remote.requests().len()), (10, 5));
     });
 }
 
 #[test]
-fn what_runs_there_ends_there() {
+fn running_requests_complete_in_an_evacuated_zone() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, published) = ready(&[&upstream]).await;
-        upstream.plays([Act::Slow(200)]);
-        let mut caller = Caller::connect(callers(&gateway)).await;
+        upstream.add_to_script([Behaviour::Slow(200)]);
+        let mut caller = Caller::connect(caller_address(&gateway)).await;
         caller.send(&post("/once/x", "id-1", "{}")).await;
-        until("it runs", || upstream.seen().len() == 1).await;
+        wait_until("it runs", || upstream.requests().len() == 1).await;
         evacuate(&published);
         let got = caller.receive().await.unwrap();
         assert_eq!((got.status, got.is_sealed), (200, true));
@@ -85,27 +86,29 @@
 }
 
 #[test]
-fn where_every_zone_is_evacuated_callers_are_told_at_once_and_truly() {
+fn requests_are_refused_at_once_if_every_zone_is_evacuated() {
     on_one_thread(async {
         let upstream = StandInUpstream::start("i-1").await;
         let (gateway, published) = ready(&[&upstream]).await;
         evacuate(&published);
         let zone = ZONE.parse().unwrap();
-        until("it is in force", || gateway.host().published_state().evacuations().contains(&zone))
-            .await;
-        let begun_ms = gateway.host().now_ms();
-        let mut caller = Caller::connect(callers(&gateway)).await;
-        let got = caller.ask(&get("/any/x", "id-1")).await;
+        wait_until("it is in force", || {
+            gateway.host().published_state().evacuations().contains(&zone)
+        })
+        .await;
+        let start_ms = gateway.host().now_ms();
+        let mut caller = Caller::connect(caller_address(&gateway)).await;
+        let got = caller.exchange(&get("/any/x", "id-1")).await;
         assert_eq!(got.status, 503);
         assert_eq!(got.cause, "zones-evacuated");
         assert!(got.retry_after.is_some());
-        assert!(gateway.host().now_ms().since(begun_ms) < Millis(100));
-        assert!(upstream.seen().is_empty());
+        assert!(gateway.host().now_ms().since(start_ms) < Millis(100));
+        assert!(upstream.requests().is_empty());
         published.end_evacuation(&zone);
-        until("it is taken back", || {
+        wait_until("it has ended", || {
             !gateway.host().published_state().evacuations().contains(&zone)
         })
         .await;
-        assert_eq!(caller.ask(&get("/any/x", "id-2")).await.status, 200);
+        assert_eq!(caller.exchange(&get("/any/x", "id-2")).await.status, 200);
     });
 }
