--- a/crates/emulator/src/policy.rs
+++ b/crates/emulator/src/policy.rs
@@ -1,24 +1,24 @@
-//! By what requests find their upstream.
+//! Policies that choose an upstream for each request.
 
 use serde::{Deserialize, Serialize};
 
-/// A rule of placing.
+/// How an upstream is chosen for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
-    /// The product's scheduler, over a network that takes its time.
+    /// The load balancer's scheduler, reached over a network with delay.
     Scheduled,
-    /// A queue that sees every upstream as it is, places at no cost, and knows how upstreams
-    /// slow down; it does not know when neighbours will come.
+    /// An ideal queue without network delay: it sees the current state of every upstream and
+    /// knows how load slows it down, but not when noisy neighbours will start.
     PerfectQueue,
-    /// Any upstream.
+    /// A random upstream.
     Random,
-    /// The emptier of two, as it is at that moment.
+    /// Of two random upstreams the one with fewer running requests at that moment.
     TwoChoices,
 }
 
 impl Policy {
-    /// All of them.
+    /// All policies.
     pub const ALL: [Policy; 4] =
         [Policy::Scheduled, Policy::PerfectQueue, Policy::Random, Policy::TwoChoices];
 }
--- a/crates/emulator/src/simulation.rs
+++ b/crates/emulator/src/simulation.rs
@@ -117,7 +117,7 @@
             refusal_times: TimeHistogram::new(),
         };
         for upstream in 0..simulation.upstreams.len() {
-            let at_ms = simulation.rng.random::<f64>() * site.work.neighbours_ms;
+            let at_ms = simulation.rng.random::<f64>() * site.work.neighbour_interval_ms;
             simulation.timeline.add(at_ms, Event::Neighbours { upstream });
         }
         simulation.timeline.add(0.0, Event::Arrival);
@@ -125,7 +125,7 @@
     }
 
     fn run(&mut self) {
-        let end_ms = self.site.length_ms + self.site.deadline_ms;
+        let end_ms = self.site.duration_ms + self.site.deadline_ms;
         while let Some((at_ms, event)) = self.timeline.next() {
             if at_ms > end_ms {
                 return;
@@ -158,7 +158,7 @@
     }
 
     fn arrive(&mut self) {
-        if self.now_ms >= self.site.length_ms {
+        if self.now_ms >= self.site.duration_ms {
             return;
         }
         let rate = self.site.load * self.site.capacity_per_ms();
@@ -226,7 +226,7 @@
     /// In the order of arrival, to the upstream that is fastest now, as long as there is one
     /// that gets more done with one request more.
     fn place_perfectly(&mut self) {
-        let (best, _) = self.site.work.best();
+        let (best, _) = self.site.work.best_concurrency();
         while let Some(&request) = self.queue.front() {
             let due_ms = self.requests[request].begun_ms + self.site.objective_ms;
             if self.now_ms + START_BEFORE * self.site.work.mean_ms > due_ms {
@@ -278,8 +278,8 @@
 
     fn change_neighbours(&mut self, upstream: usize) {
         let work = &self.site.work;
-        self.timeline.add(self.now_ms + work.neighbours_ms, Event::Neighbours { upstream });
-        let is_slowed = self.rng.random_bool(work.neighbours.clamp(0.0, 1.0));
+        self.timeline.add(self.now_ms + work.neighbour_interval_ms, Event::Neighbours { upstream });
+        let is_slowed = self.rng.random_bool(work.neighbour_share.clamp(0.0, 1.0));
         self.upstreams[upstream].slow(self.now_ms, is_slowed);
         self.expect(upstream);
         if self.policy == Policy::PerfectQueue {
@@ -360,8 +360,8 @@
     fn way_ms(&self, from: u32, to: u32) -> f64 {
         let zones = self.site.zones.max(1);
         match from % zones == to % zones {
-            true => self.site.way_ms.0,
-            false => self.site.way_ms.1,
+            true => self.site.network_delay_ms.0,
+            false => self.site.network_delay_ms.1,
         }
     }
 }
--- a/crates/emulator/src/simulation/scheduled.rs
+++ b/crates/emulator/src/simulation/scheduled.rs
@@ -106,7 +106,7 @@
 
     fn carry(&mut self, way_ms: f64, event: Event) {
         self.figures.messages += 1;
-        if !self.rng.random_bool(self.site.lost.clamp(0.0, 1.0)) {
+        if !self.rng.random_bool(self.site.loss_rate.clamp(0.0, 1.0)) {
             self.timeline.add(self.now_ms + way_ms, event);
         }
     }
--- a/crates/emulator/src/upstream.rs
+++ b/crates/emulator/src/upstream.rs
@@ -46,7 +46,7 @@
 
     /// How many times slower neighbours make it.
     pub fn slowness(&self) -> f64 {
-        if self.is_slowed { self.work.neighbours_x } else { 1.0 }
+        if self.is_slowed { self.work.neighbour_slowdown } else { 1.0 }
     }
 
     /// What it tells of itself.
--- a/crates/emulator/tests/goodput.rs
+++ b/crates/emulator/tests/goodput.rs
@@ -7,17 +7,22 @@
 
 /// Upstreams that slow down at half of their slots, by three times when full.
 fn steep() -> Work {
-    Work { slots: 6, knee: 0.5, full: 3.0, ..Work::default() }
+    Work { slots: 6, knee: 0.5, full_slowdown: 3.0, ..Work::default() }
 }
 
 /// Upstreams that work as fast with all slots taken.
 fn even() -> Work {
-    Work { slots: 6, full: 1.0, ..Work::default() }
+    Work { slots: 6, full_slowdown: 1.0, ..Work::default() }
 }
 
 /// Neighbours that stay for long and slow down most.
 fn rough() -> Work {
-    Work { neighbours: 0.35, neighbours_x: 7.0, neighbours_ms: 500.0, ..Work::default() }
+    Work {
+        neighbour_share: 0.35,
+        neighbour_slowdown: 7.0,
+        neighbour_interval_ms: 500.0,
+        ..Work::default()
+    }
 }
 
 fn played(site: &Site, policy: Policy) -> Figures {
@@ -49,7 +54,7 @@
     #[case] least: f64,
     #[values(0.4, 0.6, 0.8, 1.0, 1.5, 2.0, 3.0)] load: f64,
 ) {
-    let site = Site { load, work, length_ms: 10_000.0, ..Site::default() };
+    let site = Site { load, work, duration_ms: 10_000.0, ..Site::default() };
     let (ours, best) = (played(&site, Policy::Scheduled), played(&site, Policy::PerfectQueue));
     let part = ours.served() as f64 / best.served() as f64;
     assert!(part >= least, "{part} {ours:?} {best:?}");
@@ -57,14 +62,14 @@
 
 #[test]
 fn without_a_queue_a_burst_is_mostly_late() {
-    let site = Site { load: 0.8, length_ms: 10_000.0, ..Site::default() };
+    let site = Site { load: 0.8, duration_ms: 10_000.0, ..Site::default() };
     let (ours, two) = (played(&site, Policy::Scheduled), played(&site, Policy::TwoChoices));
     assert!(ours.in_time_share() > 2.0 * two.in_time_share(), "{ours:?} {two:?}");
 }
 
 #[test]
 fn refusals_come_at_once() {
-    let site = Site { load: 3.0, length_ms: 10_000.0, ..Site::default() };
+    let site = Site { load: 3.0, duration_ms: 10_000.0, ..Site::default() };
     let ours = played(&site, Policy::Scheduled);
     // Half of the objective: some wait first, as their turn could still have come.
     assert!(ours.refused > ours.served() && ours.refusal_p99_ms <= 100, "{ours:?}");
@@ -75,7 +80,7 @@
 #[case::one_in_fifty(0.02, 0.85)]
 #[case::one_in_three(0.33, 0.5)]
 fn lost_messages_cost_time_and_no_request(#[case] lost: f64, #[case] least: f64) {
-    let site = Site { load: 0.5, lost, length_ms: 10_000.0, ..Site::default() };
+    let site = Site { load: 0.5, loss_rate: lost, duration_ms: 10_000.0, ..Site::default() };
     let ours = played(&site, Policy::Scheduled);
     assert!(ours.in_time_share() >= least, "{ours:?}");
     assert_eq!(
@@ -86,6 +91,6 @@
 
 #[test]
 fn equal_seeds_give_equal_figures() {
-    let site = Site { length_ms: 3_000.0, ..Site::default() };
+    let site = Site { duration_ms: 3_000.0, ..Site::default() };
     assert_eq!(simulate(&site, Policy::Scheduled, 5), simulate(&site, Policy::Scheduled, 5));
 }
