--- a/crates/emulator/src/simulation.rs
+++ b/crates/emulator/src/simulation.rs
@@ -126,7 +126,7 @@
 
     fn run(&mut self) {
         let end_ms = self.site.duration_ms + self.site.deadline_ms;
-        while let Some((at_ms, event)) = self.timeline.next() {
+        while let Some((at_ms, event)) = self.timeline.pop() {
             if at_ms > end_ms {
                 return;
             }
@@ -247,7 +247,7 @@
             let work_ms = self.requests[request].work_ms;
             self.requests[request].state =
                 State::At { upstream, sent_ms: self.now_ms, is_placed: false };
-            self.upstreams[upstream].take(self.now_ms, Task { request, left_ms: work_ms });
+            self.upstreams[upstream].accept(self.now_ms, Task { request, remaining_ms: work_ms });
             self.expect(upstream);
         }
     }
@@ -261,8 +261,8 @@
 
     fn reach_upstream(&mut self, request: usize) {
         let State::At { upstream, .. } = self.requests[request].state else { return };
-        let left_ms = self.requests[request].work_ms;
-        if self.upstreams[upstream].take(self.now_ms, Task { request, left_ms }) {
+        let remaining_ms = self.requests[request].work_ms;
+        if self.upstreams[upstream].accept(self.now_ms, Task { request, remaining_ms }) {
             self.expect(upstream);
             return;
         }
@@ -271,7 +271,7 @@
     }
 
     fn expect(&mut self, upstream: usize) {
-        if let Some((at_ms, version)) = self.upstreams[upstream].next_done() {
+        if let Some((at_ms, version)) = self.upstreams[upstream].next_completion() {
             self.timeline.add(at_ms.max(self.now_ms), Event::Done { upstream, version });
         }
     }
@@ -280,7 +280,7 @@
         let work = &self.site.work;
         self.timeline.add(self.now_ms + work.neighbour_interval_ms, Event::Neighbours { upstream });
         let is_slowed = self.rng.random_bool(work.neighbour_share.clamp(0.0, 1.0));
-        self.upstreams[upstream].slow(self.now_ms, is_slowed);
+        self.upstreams[upstream].set_slowed(self.now_ms, is_slowed);
         self.expect(upstream);
         if self.policy == Policy::PerfectQueue {
             self.place_perfectly();
@@ -288,10 +288,10 @@
     }
 
     fn finish(&mut self, upstream: usize, version: u64) {
-        if !self.upstreams[upstream].is_version(version) {
+        if !self.upstreams[upstream].is_current(version) {
             return;
         }
-        let done = self.upstreams[upstream].take_done(self.now_ms);
+        let done = self.upstreams[upstream].remove_completed(self.now_ms);
         for &request in &done {
             let way_ms = match self.policy {
                 Policy::PerfectQueue => 0.0,
--- a/crates/emulator/src/timeline.rs
+++ b/crates/emulator/src/timeline.rs
@@ -1,19 +1,21 @@
-//! What happens when: events in the order of their time.
+//! A queue of events in the order of their virtual time.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// Events to come.
+/// Pending events.
 #[derive(Debug)]
 pub(crate) struct Timeline<E> {
-    events: BinaryHeap<Due<E>>,
+    events: BinaryHeap<TimedEvent<E>>,
+    /// Number of events added so far.
     count: u64,
 }
 
 #[derive(Debug)]
-struct Due<E> {
+struct TimedEvent<E> {
     at_ms: f64,
-    number: u64,
+    /// Orders events of the same time.
+    sequence: u64,
     event: E,
 }
 
@@ -22,34 +24,34 @@
         Timeline { events: BinaryHeap::new(), count: 0 }
     }
 
-    /// Adds an event; of two at the same time the one that was added first comes first.
+    /// Adds an event; events of the same time come out in the order in which they were added.
     pub(crate) fn add(&mut self, at_ms: f64, event: E) {
         self.count += 1;
-        self.events.push(Due { at_ms, number: self.count, event });
+        self.events.push(TimedEvent { at_ms, sequence: self.count, event });
     }
 
-    pub(crate) fn next(&mut self) -> Option<(f64, E)> {
-        self.events.pop().map(|due| (due.at_ms, due.event))
+    pub(crate) fn pop(&mut self) -> Option<(f64, E)> {
+        self.events.pop().map(|timed| (timed.at_ms, timed.event))
     }
 }
 
-impl<E> Ord for Due<E> {
-    fn cmp(&self, other: &Due<E>) -> Ordering {
-        // The heap gives the greatest first.
-        other.at_ms.total_cmp(&self.at_ms).then(other.number.cmp(&self.number))
+impl<E> Ord for TimedEvent<E> {
+    fn cmp(&self, other: &TimedEvent<E>) -> Ordering {
+        // Reversed, as the heap pops the greatest first.
+        other.at_ms.total_cmp(&self.at_ms).then(other.sequence.cmp(&self.sequence))
     }
 }
 
-impl<E> PartialOrd for Due<E> {
-    fn partial_cmp(&self, other: &Due<E>) -> Option<Ordering> {
+impl<E> PartialOrd for TimedEvent<E> {
+    fn partial_cmp(&self, other: &TimedEvent<E>) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<E> PartialEq for Due<E> {
-    fn eq(&self, other: &Due<E>) -> bool {
+impl<E> PartialEq for TimedEvent<E> {
+    fn eq(&self, other: &TimedEvent<E>) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl<E> Eq for Due<E> {}
+impl<E> Eq for TimedEvent<E> {}
--- a/crates/emulator/src/upstream.rs
+++ b/crates/emulator/src/upstream.rs
@@ -1,4 +1,7 @@
-//! An upstream: it works on some requests at once and lets some wait.
+//! An emulated upstream: it processes some requests concurrently and queues some more.
+//!
+//! Its speed depends on the number of running requests and on noisy neighbours, so each change
+//! of either one changes when the running requests complete.
 
 use crate::site::Work;
 use dispatch::LoadReport;
@@ -8,48 +11,50 @@
 /// A request at an upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Task {
-    /// Which request.
+    /// Index of the request.
     pub request: usize,
-    /// Work that is left, in milliseconds at the usual speed.
-    pub left_ms: f64,
+    /// Remaining service time at normal speed.
+    pub remaining_ms: f64,
 }
 
-/// One upstream at a point in time.
+/// The state of one upstream.
 #[derive(Debug)]
 pub struct EmulatedUpstream {
     work: Work,
     running: Vec<Task>,
     waiting: VecDeque<Task>,
     is_slowed: bool,
-    at_ms: f64,
-    /// Changes with each change of its speed; what was expected before is void.
+    /// Time up to which the running requests have progressed.
+    updated_ms: f64,
+    /// Increases when the speed or the running requests change, which makes completion times
+    /// computed before obsolete.
     version: u64,
 }
 
 impl EmulatedUpstream {
-    /// An idle one.
+    /// Creates an idle upstream.
     pub fn new(work: &Work) -> EmulatedUpstream {
         EmulatedUpstream {
             work: work.clone(),
             running: Vec::new(),
             waiting: VecDeque::new(),
             is_slowed: false,
-            at_ms: 0.0,
+            updated_ms: 0.0,
             version: 0,
         }
     }
 
-    /// Requests at work.
+    /// Number of requests being processed.
     pub fn running(&self) -> u32 {
         self.running.len() as u32
     }
 
-    /// How many times slower neighbours make it.
+    /// Slowdown factor caused by noisy neighbours.
     pub fn slowness(&self) -> f64 {
         if self.is_slowed { self.work.neighbour_slowdown } else { 1.0 }
     }
 
-    /// What it tells of itself.
+    /// The load that it reports to a probe or in a response.
     pub fn report(&self) -> LoadReport {
         LoadReport {
             running: self.running(),
@@ -59,15 +64,15 @@
         }
     }
 
-    /// Neighbours come or go.
-    pub fn slow(&mut self, now_ms: f64, is_slowed: bool) {
+    /// Starts or ends the slowdown by noisy neighbours.
+    pub fn set_slowed(&mut self, now_ms: f64, is_slowed: bool) {
         self.advance(now_ms);
         self.is_slowed = is_slowed;
         self.version += 1;
     }
 
-    /// Takes a request; false if it is full and turns it away.
-    pub fn take(&mut self, now_ms: f64, task: Task) -> bool {
+    /// Starts or queues a request; false if the queue is full and the request is shed.
+    pub fn accept(&mut self, now_ms: f64, task: Task) -> bool {
         self.advance(now_ms);
         if self.running() < self.work.slots {
             self.running.push(task);
@@ -81,57 +86,61 @@
         has_room
     }
 
-    /// Drops a request whose caller has left.
+    /// Drops a request whose caller gave up.
     pub fn drop_request(&mut self, now_ms: f64, request: usize) {
         self.advance(now_ms);
         self.running.retain(|task| task.request != request);
         self.waiting.retain(|task| task.request != request);
-        self.fill();
+        self.start_waiting();
         self.version += 1;
     }
 
-    /// Takes what is done by now, oldest first.
-    pub fn take_done(&mut self, now_ms: f64) -> Vec<usize> {
+    /// Removes the requests that are complete by now and returns them, oldest first.
+    pub fn remove_completed(&mut self, now_ms: f64) -> Vec<usize> {
         self.advance(now_ms);
-        let is_done = |task: &Task| task.left_ms <= 1e-6;
-        let done = self.running.iter().filter(|task| is_done(task)).map(|task| task.request);
-        let done: Vec<usize> = done.collect();
-        if !done.is_empty() {
-            self.running.retain(|task| !is_done(task));
-            self.fill();
+        let is_complete = |task: &Task| task.remaining_ms <= 1e-6;
+        let completed =
+            self.running.iter().filter(|task| is_complete(task)).map(|task| task.request);
+        let completed: Vec<usize> = completed.collect();
+        if !completed.is_empty() {
+            self.running.retain(|task| !is_complete(task));
+            self.start_waiting();
             self.version += 1;
         }
-        done
+        completed
     }
 
-    /// When the next request will be done as things stand, and the version that it holds for.
-    pub fn next_done(&self) -> Option<(f64, u64)> {
-        let least_ms = self.running.iter().map(|task| task.left_ms).min_by(f64::total_cmp)?;
-        Some((self.at_ms + least_ms.max(0.0) * self.pace(), self.version))
+    /// When the next request completes unless something changes, and the version that this is
+    /// valid for.
+    pub fn next_completion(&self) -> Option<(f64, u64)> {
+        let least_ms = self.running.iter().map(|task| task.remaining_ms).min_by(f64::total_cmp)?;
+        Some((self.updated_ms + least_ms.max(0.0) * self.total_slowdown(), self.version))
     }
 
-    /// Whether nothing changed since.
-    pub fn is_version(&self, version: u64) -> bool {
+    /// Whether a completion time computed at this version is still valid.
+    pub fn is_current(&self, version: u64) -> bool {
         self.version == version
     }
 
-    fn fill(&mut self) {
+    /// Starts waiting requests as long as slots are free.
+    fn start_waiting(&mut self) {
         while self.running() < self.work.slots {
             let Some(task) = self.waiting.pop_front() else { return };
             self.running.push(task);
         }
     }
 
+    /// Applies the progress of the running requests since the last update.
     fn advance(&mut self, now_ms: f64) {
-        let done_ms = (now_ms - self.at_ms) / self.pace();
+        let progress_ms = (now_ms - self.updated_ms) / self.total_slowdown();
         for task in &mut self.running {
-            task.left_ms -= done_ms;
+            task.remaining_ms -= progress_ms;
         }
-        self.at_ms = now_ms;
+        self.updated_ms = now_ms;
     }
 
-    /// Milliseconds for a millisecond of work.
-    fn pace(&self) -> f64 {
+    /// Slowdown factor of the running requests, from load and neighbours together.
+    fn total_slowdown(&self) -> f64 {
         self.slowness() * self.work.slowdown(self.running())
     }
 }
