--- a/crates/emulator/src/simulation.rs
+++ b/crates/emulator/src/simulation.rs
@@ -1,9 +1,9 @@
-//! Hosts and callers around upstreams.
+//! Simulates the hosts and callers of a [`Site`].
 //!
-//! One host schedules; the others reach it over a network that takes its time and may lose
-//! messages. A host that hears nothing in time sends to the emptier of two upstreams, so a
-//! play shows what lost messages cost. Callers that are refused come back once, when they
-//! are told to.
+//! One host runs the scheduler; the others reach it over a network with delay and message loss.
+//! A host that receives no reply of the scheduler in time sends the request to the less loaded of
+//! two random upstreams, so the figures include the cost of lost messages. A refused caller
+//! retries once, through the next host, after the stated delay with jitter.
 
 mod scheduled;
 
@@ -19,59 +19,64 @@
 use scheduled::SchedulingHost;
 use std::collections::VecDeque;
 
-/// Part of the time left that a caller stays away at most before it comes back.
-const AWAY_AT_MOST: f64 = 1.0 / 3.0;
+/// Longest delay before a retry, as a share of the time left to the caller's deadline.
+const MAX_RETRY_DELAY_SHARE: f64 = 1.0 / 3.0;
 
-/// A caller that is told no time comes back after so long.
-const USUAL_AWAY_MS: f64 = 60.0;
+/// Delay before a retry, without jitter, where the refusal states none.
+const DEFAULT_RETRY_DELAY_MS: f64 = 60.0;
 
-/// The perfect queue refuses what it could not begin this many mean working times before its
-/// time is over: with 1.0 a fifth of what it served at capacity was late, with 2.0 less was served.
-const START_BEFORE: f64 = 1.6;
+/// The perfect queue refuses a request that it has not started this many mean service times before
+/// its objective ends. A smaller margin makes more requests late, a larger one serves fewer.
+const START_MARGIN_SERVICE_TIMES: f64 = 1.6;
 
-/// A host that heard nothing of its scheduler for so long does without.
-const FIRST_WORD_MS: f64 = 25.0;
+/// Time without a reply of the scheduler after which a host chooses an upstream itself.
+const SCHEDULER_TIMEOUT_MS: f64 = 25.0;
 
-/// One try of a caller.
+/// One try of a caller; a retry is a request of its own.
 #[derive(Debug)]
 struct Request {
     host: u32,
-    begun_ms: f64,
-    /// When the caller leaves, counted from its first try.
-    leaves_ms: f64,
+    /// When the try starts.
+    started_ms: f64,
+    /// When the caller gives up; a retry keeps the deadline of the first try.
+    deadline_ms: f64,
+    /// Service time at normal speed.
     work_ms: f64,
-    is_second: bool,
-    state: State,
+    is_retry: bool,
+    state: RequestState,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum State {
-    /// Nothing was heard of the scheduler yet.
-    Unheard,
-    Waiting,
-    At {
+enum RequestState {
+    /// The host received no reply of the scheduler yet.
+    Unacknowledged,
+    /// The scheduler queued it.
+    Queued,
+    /// Sent to an upstream, which it may not have reached yet.
+    Sent {
         upstream: usize,
         sent_ms: f64,
+        /// Whether the scheduler chose the upstream.
         is_placed: bool,
     },
-    Over,
+    Ended,
 }
 
 #[derive(Debug)]
 enum Event {
     Arrival,
-    SecondTry { request: usize },
-    Neighbours { upstream: usize },
-    Done { upstream: usize, version: u64 },
-    AtScheduler(PlacementMessage),
-    AtHost(PlacementMessage),
-    AskedUpstream { upstream: usize },
-    Told { upstream: usize, report: dispatch::LoadReport },
-    Turn,
-    Unheard { request: usize },
-    AtUpstream { request: usize },
-    Answered { request: usize },
-    Leaves { request: usize },
+    Retry { request: usize },
+    NeighbourChange { upstream: usize },
+    Completion { upstream: usize, version: u64 },
+    MessageToScheduler(PlacementMessage),
+    MessageToHost(PlacementMessage),
+    ProbeAtUpstream { upstream: usize },
+    ProbeResponse { upstream: usize, report: dispatch::LoadReport },
+    SchedulingDue,
+    SchedulerTimeout { request: usize },
+    RequestAtUpstream { request: usize },
+    ResponseAtHost { request: usize },
+    Deadline { request: usize },
 }
 
 struct Simulation<'s> {
@@ -82,7 +87,7 @@
     rng: Pcg64Mcg,
     upstreams: Vec<EmulatedUpstream>,
     requests: Vec<Request>,
-    /// The perfect queue.
+    /// Requests in the perfect queue, in order of arrival.
     queue: VecDeque<usize>,
     scheduler: SchedulingHost,
     figures: Figures,
@@ -90,7 +95,7 @@
     refusal_times: TimeHistogram,
 }
 
-/// Plays a site; equal seeds give equal figures.
+/// Simulates a site; equal arguments give equal figures.
 pub fn simulate(site: &Site, policy: Policy, seed: u64) -> Figures {
     let mut simulation = Simulation::new(site, policy, seed);
     simulation.run();
@@ -118,7 +123,7 @@
         };
         for upstream in 0..simulation.upstreams.len() {
             let at_ms = simulation.rng.random::<f64>() * site.work.neighbour_interval_ms;
-            simulation.timeline.add(at_ms, Event::Neighbours { upstream });
+            simulation.timeline.add(at_ms, Event::NeighbourChange { upstream });
         }
         simulation.timeline.add(0.0, Event::Arrival);
         simulation
@@ -131,89 +136,93 @@
                 return;
             }
             self.now_ms = at_ms;
-            self.take(event);
+            self.handle_event(event);
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Arrival => self.arrive(),
-            Event::SecondTry { request } => self.begin(request),
-            Event::Neighbours { upstream } => self.change_neighbours(upstream),
-            Event::Done { upstream, version } => self.finish(upstream, version),
-            Event::AtUpstream { request } => self.reach_upstream(request),
-            Event::Answered { request } => self.note_answer(request),
-            Event::Leaves { request } => self.leave(request),
-            Event::AtScheduler(message) => self.at_scheduler(message),
-            Event::AtHost(message) => self.at_host(message),
-            Event::AskedUpstream { upstream } => {
+            Event::Arrival => self.handle_arrival(),
+            Event::Retry { request } => self.start_request(request),
+            Event::NeighbourChange { upstream } => self.redraw_neighbours(upstream),
+            Event::Completion { upstream, version } => self.complete_requests(upstream, version),
+            Event::RequestAtUpstream { request } => self.deliver_to_upstream(request),
+            Event::ResponseAtHost { request } => self.handle_response(request),
+            Event::Deadline { request } => self.time_out(request),
+            Event::MessageToScheduler(message) => self.handle_scheduler_message(message),
+            Event::MessageToHost(message) => self.handle_host_message(message),
+            Event::ProbeAtUpstream { upstream } => {
                 let report = self.upstreams[upstream].report();
-                let way_ms = self.way_to_upstream_ms(0, upstream);
-                self.timeline.add(self.now_ms + way_ms, Event::Told { upstream, report });
+                let delay_ms = self.delay_to_upstream_ms(0, upstream);
+                self.timeline
+                    .add(self.now_ms + delay_ms, Event::ProbeResponse { upstream, report });
             }
-            Event::Told { upstream, report } => self.told(upstream, report),
-            Event::Turn => self.turn_when_due(),
-            Event::Unheard { request } => self.give_up_on_scheduler(request),
+            Event::ProbeResponse { upstream, report } => {
+                self.handle_probe_response(upstream, report)
+            }
+            Event::SchedulingDue => self.handle_scheduling_due(),
+            Event::SchedulerTimeout { request } => self.handle_scheduler_timeout(request),
         }
     }
 
-    fn arrive(&mut self) {
+    fn handle_arrival(&mut self) {
         if self.now_ms >= self.site.duration_ms {
             return;
         }
         let rate = self.site.load * self.site.capacity_per_ms();
-        // Rates and spreads that are no numbers play as one request a second of even length.
-        let pause_ms = Exp::new(rate).map_or(1_000.0, |exp| exp.sample(&mut self.rng));
-        self.timeline.add(self.now_ms + pause_ms, Event::Arrival);
+        // `Exp` and `LogNormal` reject invalid parameters of the site: one request per second, and
+        // equal service times, take their place.
+        let interval_ms = Exp::new(rate).map_or(1_000.0, |exp| exp.sample(&mut self.rng));
+        self.timeline.add(self.now_ms + interval_ms, Event::Arrival);
         self.figures.requests += 1;
         let request = Request {
             host: self.rng.random_range(0..self.site.hosts.max(1)),
-            begun_ms: self.now_ms,
-            leaves_ms: self.now_ms + self.site.deadline_ms,
-            work_ms: self.draw_work_ms(),
-            is_second: false,
-            state: State::Unheard,
+            started_ms: self.now_ms,
+            deadline_ms: self.now_ms + self.site.deadline_ms,
+            work_ms: self.sample_work_ms(),
+            is_retry: false,
+            state: RequestState::Unacknowledged,
         };
-        self.add(request);
+        self.add_request(request);
     }
 
-    fn add(&mut self, request: Request) {
-        let number = self.requests.len();
-        self.timeline.add(request.leaves_ms, Event::Leaves { request: number });
-        let begun_ms = request.begun_ms;
+    fn add_request(&mut self, request: Request) {
+        let index = self.requests.len();
+        self.timeline.add(request.deadline_ms, Event::Deadline { request: index });
+        let started_ms = request.started_ms;
         self.requests.push(request);
-        match begun_ms > self.now_ms {
-            true => self.timeline.add(begun_ms, Event::SecondTry { request: number }),
-            false => self.begin(number),
+        match started_ms > self.now_ms {
+            true => self.timeline.add(started_ms, Event::Retry { request: index }),
+            false => self.start_request(index),
         }
     }
 
-    fn draw_work_ms(&mut self) -> f64 {
+    fn sample_work_ms(&mut self) -> f64 {
         let work = &self.site.work;
-        let mean = work.mean_ms.ln() - work.spread * work.spread / 2.0;
-        let times = LogNormal::new(mean, work.spread);
-        times.map_or(work.mean_ms, |times| times.sample(&mut self.rng))
+        let log_mean = work.mean_ms.ln() - work.spread * work.spread / 2.0;
+        let distribution = LogNormal::new(log_mean, work.spread);
+        distribution.map_or(work.mean_ms, |distribution| distribution.sample(&mut self.rng))
     }
 
-    fn begin(&mut self, request: usize) {
+    fn start_request(&mut self, request: usize) {
         match self.policy {
             Policy::Scheduled => self.submit(request),
             Policy::PerfectQueue => {
                 self.queue.push_back(request);
-                self.place_perfectly();
+                self.run_perfect_queue();
             }
             Policy::Random => {
                 let upstream = self.rng.random_range(0..self.upstreams.len());
-                self.send(request, upstream, false);
+                self.send_request(request, upstream, false);
             }
             Policy::TwoChoices => {
-                let upstream = self.emptier_of_two();
-                self.send(request, upstream, false);
+                let upstream = self.less_loaded_of_two();
+                self.send_request(request, upstream, false);
             }
         }
     }
 
-    fn emptier_of_two(&mut self) -> usize {
+    fn less_loaded_of_two(&mut self) -> usize {
         let count = self.upstreams.len();
         let two = [self.rng.random_range(0..count), self.rng.random_range(0..count)];
         let [first, second] = two;
@@ -223,141 +232,150 @@
         }
     }
 
-    /// In the order of arrival, to the upstream that is fastest now, as long as there is one
-    /// that gets more done with one request more.
-    fn place_perfectly(&mut self) {
-        let (best, _) = self.site.work.best_concurrency();
+    /// Starts queued requests in order of arrival, each on the upstream that is fastest now, as
+    /// long as an upstream is below its best concurrency and would meet the objective at mean
+    /// service time. Requests that are too late are refused.
+    fn run_perfect_queue(&mut self) {
+        let (best_concurrency, _) = self.site.work.best_concurrency();
         while let Some(&request) = self.queue.front() {
-            let due_ms = self.requests[request].begun_ms + self.site.objective_ms;
-            if self.now_ms + START_BEFORE * self.site.work.mean_ms > due_ms {
+            let due_ms = self.requests[request].started_ms + self.site.objective_ms;
+            if self.now_ms + START_MARGIN_SERVICE_TIMES * self.site.work.mean_ms > due_ms {
                 self.queue.pop_front();
-                self.refuse(request, USUAL_AWAY_MS);
+                self.refuse(request, DEFAULT_RETRY_DELAY_MS);
                 continue;
             }
-            let free = (0..self.upstreams.len()).filter(|&u| self.upstreams[u].running() < best);
-            let pace = |&u: &usize| {
+            let free = (0..self.upstreams.len())
+                .filter(|&u| self.upstreams[u].running() < best_concurrency);
+            let slowdown = |&u: &usize| {
                 let upstream = &self.upstreams[u];
                 upstream.slowness() * self.site.work.slowdown(upstream.running() + 1)
             };
-            let Some(upstream) = free.min_by(|a, b| pace(a).total_cmp(&pace(b))) else { return };
-            if self.now_ms + pace(&upstream) * self.site.work.mean_ms > due_ms {
+            let Some(upstream) = free.min_by(|a, b| slowdown(a).total_cmp(&slowdown(b))) else {
+                return;
+            };
+            if self.now_ms + slowdown(&upstream) * self.site.work.mean_ms > due_ms {
                 return;
             }
             self.queue.pop_front();
             let work_ms = self.requests[request].work_ms;
             self.requests[request].state =
-                State::At { upstream, sent_ms: self.now_ms, is_placed: false };
+                RequestState::Sent { upstream, sent_ms: self.now_ms, is_placed: false };
             self.upstreams[upstream].accept(self.now_ms, Task { request, remaining_ms: work_ms });
-            self.expect(upstream);
+            self.add_completion(upstream);
         }
     }
 
-    fn send(&mut self, request: usize, upstream: usize, is_placed: bool) {
+    fn send_request(&mut self, request: usize, upstream: usize, is_placed: bool) {
         let sent_ms = self.now_ms;
-        self.requests[request].state = State::At { upstream, sent_ms, is_placed };
-        let way_ms = self.way_to_upstream_ms(self.requests[request].host, upstream);
-        self.timeline.add(self.now_ms + way_ms, Event::AtUpstream { request });
+        self.requests[request].state = RequestState::Sent { upstream, sent_ms, is_placed };
+        let delay_ms = self.delay_to_upstream_ms(self.requests[request].host, upstream);
+        self.timeline.add(self.now_ms + delay_ms, Event::RequestAtUpstream { request });
     }
 
-    fn reach_upstream(&mut self, request: usize) {
-        let State::At { upstream, .. } = self.requests[request].state else { return };
+    fn deliver_to_upstream(&mut self, request: usize) {
+        let RequestState::Sent { upstream, .. } = self.requests[request].state else { return };
         let remaining_ms = self.requests[request].work_ms;
         if self.upstreams[upstream].accept(self.now_ms, Task { request, remaining_ms }) {
-            self.expect(upstream);
+            self.add_completion(upstream);
             return;
         }
-        self.note_end(request, Some(dispatch::AttemptFailure::Shed));
-        self.refuse(request, USUAL_AWAY_MS);
+        self.report_outcome(request, Some(dispatch::AttemptFailure::Shed));
+        self.refuse(request, DEFAULT_RETRY_DELAY_MS);
     }
 
-    fn expect(&mut self, upstream: usize) {
+    /// Adds the event of the upstream's next completion.
+    fn add_completion(&mut self, upstream: usize) {
         if let Some((at_ms, version)) = self.upstreams[upstream].next_completion() {
-            self.timeline.add(at_ms.max(self.now_ms), Event::Done { upstream, version });
+            self.timeline.add(at_ms.max(self.now_ms), Event::Completion { upstream, version });
         }
     }
 
-    fn change_neighbours(&mut self, upstream: usize) {
+    /// Decides at random whether noisy neighbours slow the upstream down from now on.
+    fn redraw_neighbours(&mut self, upstream: usize) {
         let work = &self.site.work;
-        self.timeline.add(self.now_ms + work.neighbour_interval_ms, Event::Neighbours { upstream });
+        self.timeline
+            .add(self.now_ms + work.neighbour_interval_ms, Event::NeighbourChange { upstream });
         let is_slowed = self.rng.random_bool(work.neighbour_share.clamp(0.0, 1.0));
         self.upstreams[upstream].set_slowed(self.now_ms, is_slowed);
-        self.expect(upstream);
+        self.add_completion(upstream);
         if self.policy == Policy::PerfectQueue {
-            self.place_perfectly();
+            self.run_perfect_queue();
         }
     }
 
-    fn finish(&mut self, upstream: usize, version: u64) {
+    fn complete_requests(&mut self, upstream: usize, version: u64) {
         if !self.upstreams[upstream].is_current(version) {
             return;
         }
-        let done = self.upstreams[upstream].remove_completed(self.now_ms);
-        for &request in &done {
-            let way_ms = match self.policy {
+        let completed = self.upstreams[upstream].remove_completed(self.now_ms);
+        for &request in &completed {
+            let delay_ms = match self.policy {
                 Policy::PerfectQueue => 0.0,
-                _ => self.way_to_upstream_ms(self.requests[request].host, upstream),
+                _ => self.delay_to_upstream_ms(self.requests[request].host, upstream),
             };
-            self.timeline.add(self.now_ms + way_ms, Event::Answered { request });
+            self.timeline.add(self.now_ms + delay_ms, Event::ResponseAtHost { request });
         }
-        self.expect(upstream);
+        self.add_completion(upstream);
         if self.policy == Policy::PerfectQueue {
-            self.place_perfectly();
+            self.run_perfect_queue();
         }
     }
 
-    fn note_answer(&mut self, request: usize) {
-        if self.requests[request].state == State::Over {
+    fn handle_response(&mut self, request: usize) {
+        if self.requests[request].state == RequestState::Ended {
             return;
         }
-        self.note_end(request, None);
-        let Request { begun_ms, is_second, .. } = self.requests[request];
-        self.requests[request].state = State::Over;
-        let took_ms = self.now_ms - begun_ms;
+        self.report_outcome(request, None);
+        let Request { started_ms, is_retry, .. } = self.requests[request];
+        self.requests[request].state = RequestState::Ended;
+        let took_ms = self.now_ms - started_ms;
         self.response_times.record(took_ms);
-        match (took_ms <= self.site.objective_ms, is_second) {
+        match (took_ms <= self.site.objective_ms, is_retry) {
             (true, false) => self.figures.in_time += 1,
             (true, true) => self.figures.in_time_on_retry += 1,
             (false, _) => self.figures.late += 1,
         }
     }
 
-    /// The caller comes back once, if there is time.
-    fn refuse(&mut self, request: usize, away_ms: f64) {
-        let Request { host, begun_ms, leaves_ms, work_ms, is_second, .. } = self.requests[request];
-        self.requests[request].state = State::Over;
-        self.refusal_times.record(self.now_ms - begun_ms);
-        let jittered_ms = away_ms * (1.0 + self.rng.random::<f64>());
-        let away_ms = jittered_ms.min((leaves_ms - self.now_ms) * AWAY_AT_MOST);
-        if is_second {
+    /// Refuses a request; the caller retries after the delay if this was its first try.
+    fn refuse(&mut self, request: usize, delay_ms: f64) {
+        let Request { host, started_ms, deadline_ms, work_ms, is_retry, .. } =
+            self.requests[request];
+        self.requests[request].state = RequestState::Ended;
+        self.refusal_times.record(self.now_ms - started_ms);
+        let jittered_ms = delay_ms * (1.0 + self.rng.random::<f64>());
+        let delay_ms = jittered_ms.min((deadline_ms - self.now_ms) * MAX_RETRY_DELAY_SHARE);
+        if is_retry {
             self.figures.refused += 1;
             return;
         }
-        let begun_ms = self.now_ms + away_ms;
+        let started_ms = self.now_ms + delay_ms;
         let host = (host + 1) % self.site.hosts.max(1);
-        let state = State::Unheard;
-        self.add(Request { host, begun_ms, leaves_ms, work_ms, is_second: true, state });
+        let state = RequestState::Unacknowledged;
+        self.add_request(Request { host, started_ms, deadline_ms, work_ms, is_retry: true, state });
     }
 
-    fn leave(&mut self, request: usize) {
+    fn time_out(&mut self, request: usize) {
         let state = self.requests[request].state;
-        if state == State::Over {
+        if state == RequestState::Ended {
             return;
         }
         self.figures.timed_out += 1;
-        if let State::At { upstream, .. } = state {
-            self.note_end(request, Some(dispatch::AttemptFailure::TimedOut));
+        if let RequestState::Sent { upstream, .. } = state {
+            self.report_outcome(request, Some(dispatch::AttemptFailure::TimedOut));
             self.upstreams[upstream].drop_request(self.now_ms, request);
-            self.expect(upstream);
+            self.add_completion(upstream);
         }
         self.queue.retain(|&queued| queued != request);
-        self.requests[request].state = State::Over;
+        self.requests[request].state = RequestState::Ended;
     }
 
-    fn way_to_upstream_ms(&self, host: u32, upstream: usize) -> f64 {
-        self.way_ms(host, upstream as u32)
+    fn delay_to_upstream_ms(&self, host: u32, upstream: usize) -> f64 {
+        self.delay_ms(host, upstream as u32)
     }
 
-    fn way_ms(&self, from: u32, to: u32) -> f64 {
+    /// One-way network delay; the host or upstream `n` is in availability zone `n % zones`.
+    fn delay_ms(&self, from: u32, to: u32) -> f64 {
         let zones = self.site.zones.max(1);
         match from % zones == to % zones {
             true => self.site.network_delay_ms.0,
@@ -366,7 +384,7 @@
     }
 }
 
-/// Tickets are requests' numbers.
-fn request_of(ticket: Ticket) -> usize {
+/// The index of the request with this ticket: the scheduler's tickets are these indices.
+fn request_index(ticket: Ticket) -> usize {
     ticket.0 as usize
 }
--- a/crates/emulator/src/simulation/scheduled.rs
+++ b/crates/emulator/src/simulation/scheduled.rs
@@ -1,6 +1,6 @@
-//! The product's scheduler in a play: real decisions, emulated messages.
+//! The host that schedules: the load balancer's real scheduler, with emulated messages and probes.
 
-use super::{Event, FIRST_WORD_MS, Simulation, State, request_of};
+use super::{Event, RequestState, SCHEDULER_TIMEOUT_MS, Simulation, request_index};
 use crate::site::Site;
 use dispatch::backpressure::Backpressure;
 use dispatch::scheduler::{
@@ -15,35 +15,40 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 
-/// Time that an upstream takes to answer a question.
-const ANSWER_MS: f64 = 1.0;
+/// Time that an upstream takes to answer a probe.
+const PROBE_SERVICE_MS: f64 = 1.0;
 
 /// The host that schedules.
 pub(super) struct SchedulingHost {
     schedulers: SchedulerSet,
     upstreams: UpstreamSet,
     rng: Pcg64Mcg,
+    /// Ids of the upstreams, by index.
     ids: Vec<UpstreamId>,
     cell: Cell,
-    is_turn_due: bool,
+    /// Whether the timeline contains `Event::SchedulingDue`.
+    is_scheduling_due: bool,
 }
 
 impl SchedulingHost {
     pub(super) fn new(site: &Site, seed: u64) -> SchedulingHost {
         let entries: Vec<Entry<Arc<Upstream>>> = (0..site.upstreams)
-            .map(|number| Entry { revision: Revision(1), value: Arc::new(entry(site, number)) })
+            .map(|number| Entry {
+                revision: Revision(1),
+                value: Arc::new(upstream_entry(site, number)),
+            })
             .collect();
         let ids = entries.iter().map(|entry| entry.value.id.clone()).collect();
-        let cell = Cell { service: name("service"), zone: None };
-        let mut upstreams = UpstreamSet::new(name("host-0"), zone(site, 0));
+        let cell = Cell { service: parse_name("service"), zone: None };
+        let mut upstreams = UpstreamSet::new(parse_name("host-0"), zone_name(site, 0));
         upstreams.sync(Millis::ZERO, entries.iter(), &Evacuations::default());
         SchedulingHost {
-            schedulers: SchedulerSet::new(name("host-0")),
+            schedulers: SchedulerSet::new(parse_name("host-0")),
             upstreams,
             rng: Pcg64Mcg::seed_from_u64(seed.wrapping_add(1)),
             ids,
             cell,
-            is_turn_due: false,
+            is_scheduling_due: false,
         }
     }
 
@@ -52,21 +57,21 @@
     }
 }
 
-/// Names of the play are short printable words, which every kind of name takes.
-fn name<N: std::str::FromStr>(text: &str) -> N {
-    text.parse().unwrap_or_else(|_| unreachable!("{text} is a name"))
+/// Parses a name; those of the simulation are valid for every type of name.
+fn parse_name<N: std::str::FromStr>(text: &str) -> N {
+    text.parse().unwrap_or_else(|_| unreachable!("{text} is a valid name"))
 }
 
-fn zone(site: &Site, number: u32) -> ZoneName {
-    name(&format!("zone-{}", number % site.zones.max(1)))
+fn zone_name(site: &Site, number: u32) -> ZoneName {
+    parse_name(&format!("zone-{}", number % site.zones.max(1)))
 }
 
-fn entry(site: &Site, number: u32) -> Upstream {
+fn upstream_entry(site: &Site, number: u32) -> Upstream {
     Upstream {
-        id: name(&format!("upstream-{number}")),
-        service: name("service"),
+        id: parse_name(&format!("upstream-{number}")),
+        service: parse_name("service"),
         address: SocketAddr::new(Ipv4Addr::LOCALHOST.into(), 80),
-        availability_zone: zone(site, number),
+        availability_zone: zone_name(site, number),
         slots: Slots(site.work.slots),
         mode: UpstreamMode::Ready,
         warmup_left_ms: Millis::ZERO,
@@ -75,143 +80,149 @@
 }
 
 impl Simulation<'_> {
+    /// Submits a request to the scheduler.
     pub(super) fn submit(&mut self, request: usize) {
         let now_ms = self.now();
-        let taken = &self.requests[request];
+        let submitted = &self.requests[request];
         let submission = Submission {
             ticket: Ticket(request as u64),
             cell: self.scheduler.cell.clone(),
-            zone: zone(self.site, taken.host),
+            zone: zone_name(self.site, submitted.host),
             priority: 0,
             objective_ms: Millis(self.site.objective_ms as u64),
-            age_ms: now_ms.since(Millis(taken.begun_ms as u64)),
-            left_ms: Millis((taken.leaves_ms - self.now_ms).max(0.0) as u64),
+            age_ms: now_ms.since(Millis(submitted.started_ms as u64)),
+            left_ms: Millis((submitted.deadline_ms - self.now_ms).max(0.0) as u64),
             tried: Vec::new(),
             backing_off: Vec::new(),
             lends_rate_share: true,
         };
-        let host = taken.host;
-        self.timeline.add(self.now_ms + FIRST_WORD_MS, Event::Unheard { request });
-        self.tell_scheduler(host, PlacementMessage::Submit(submission));
+        let host = submitted.host;
+        self.timeline.add(self.now_ms + SCHEDULER_TIMEOUT_MS, Event::SchedulerTimeout { request });
+        self.send_to_scheduler(host, PlacementMessage::Submit(submission));
     }
 
     fn now(&self) -> Millis {
         Millis(self.now_ms as u64)
     }
 
-    fn tell_scheduler(&mut self, host: u32, message: PlacementMessage) {
-        let way_ms = self.way_ms(host, 0);
-        self.carry(way_ms, Event::AtScheduler(message));
+    fn send_to_scheduler(&mut self, host: u32, message: PlacementMessage) {
+        let delay_ms = self.delay_ms(host, 0);
+        self.transmit(delay_ms, Event::MessageToScheduler(message));
     }
 
-    fn carry(&mut self, way_ms: f64, event: Event) {
+    /// Sends a message between hosts, which may be lost.
+    fn transmit(&mut self, delay_ms: f64, event: Event) {
         self.figures.messages += 1;
         if !self.rng.random_bool(self.site.loss_rate.clamp(0.0, 1.0)) {
-            self.timeline.add(self.now_ms + way_ms, event);
+            self.timeline.add(self.now_ms + delay_ms, event);
         }
     }
 
-    pub(super) fn at_scheduler(&mut self, message: PlacementMessage) {
+    pub(super) fn handle_scheduler_message(&mut self, message: PlacementMessage) {
         let now_ms = self.now();
         let SchedulingHost { schedulers, upstreams, rng, .. } = &mut self.scheduler;
         let effects =
             schedulers.handle_message(now_ms, message, Requester::OwnHost, upstreams, rng);
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
-    pub(super) fn turn_when_due(&mut self) {
-        self.scheduler.is_turn_due = false;
-        self.turn();
+    pub(super) fn handle_scheduling_due(&mut self) {
+        self.scheduler.is_scheduling_due = false;
+        self.schedule();
     }
 
-    fn turn(&mut self) {
+    fn schedule(&mut self) {
         let now_ms = self.now();
         let SchedulingHost { schedulers, upstreams, rng, .. } = &mut self.scheduler;
         let effects = schedulers.schedule(now_ms, upstreams, rng);
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
-    pub(super) fn told(&mut self, upstream: usize, report: LoadReport) {
+    pub(super) fn handle_probe_response(&mut self, upstream: usize, report: LoadReport) {
         let now_ms = self.now();
         let id = self.scheduler.ids[upstream].clone();
         self.scheduler.upstreams.record_report(now_ms, (&id, RunStart::default()), report);
-        self.turn();
+        self.schedule();
     }
 
-    fn carry_out(&mut self, effects: Vec<Effect>) {
+    fn apply_effects(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Send { message, .. } => {
-                    let Some(request) = ticket_of(&message).map(request_of) else { continue };
-                    let way_ms = self.way_ms(0, self.requests[request].host);
-                    self.carry(way_ms, Event::AtHost(message));
+                    let Some(request) = ticket_of(&message).map(request_index) else { continue };
+                    let delay_ms = self.delay_ms(0, self.requests[request].host);
+                    self.transmit(delay_ms, Event::MessageToHost(message));
                 }
                 Effect::Probe(id) => {
                     let Some(upstream) = self.scheduler.index(&id) else { continue };
                     self.figures.probes += 1;
-                    let way_ms = self.way_to_upstream_ms(0, upstream) + ANSWER_MS;
-                    let asked = Event::AskedUpstream { upstream };
-                    self.timeline.add(self.now_ms + way_ms, asked);
+                    let delay_ms = self.delay_to_upstream_ms(0, upstream) + PROBE_SERVICE_MS;
+                    let arrival = Event::ProbeAtUpstream { upstream };
+                    self.timeline.add(self.now_ms + delay_ms, arrival);
                 }
             }
         }
         let next_ms = self.scheduler.schedulers.next_schedule_ms(self.now());
-        if let Some(next_ms) = next_ms.filter(|_| !self.scheduler.is_turn_due) {
-            self.scheduler.is_turn_due = true;
-            self.timeline.add(next_ms.as_f64().max(self.now_ms), Event::Turn);
+        if let Some(next_ms) = next_ms.filter(|_| !self.scheduler.is_scheduling_due) {
+            self.scheduler.is_scheduling_due = true;
+            self.timeline.add(next_ms.as_f64().max(self.now_ms), Event::SchedulingDue);
         }
     }
 
-    pub(super) fn at_host(&mut self, message: PlacementMessage) {
+    pub(super) fn handle_host_message(&mut self, message: PlacementMessage) {
         let Some(ticket) = ticket_of(&message) else { return };
-        let request = request_of(ticket);
-        let is_open = matches!(self.requests[request].state, State::Unheard | State::Waiting);
+        let request = request_index(ticket);
+        let is_pending = matches!(
+            self.requests[request].state,
+            RequestState::Unacknowledged | RequestState::Queued
+        );
         match message {
-            PlacementMessage::Queued { .. } if is_open => {
-                self.requests[request].state = State::Waiting;
+            PlacementMessage::Queued { .. } if is_pending => {
+                self.requests[request].state = RequestState::Queued;
             }
-            PlacementMessage::Placed { placement, .. } if is_open => {
+            PlacementMessage::Placed { placement, .. } if is_pending => {
                 if let Some(upstream) = self.scheduler.index(&placement.upstream) {
-                    self.send(request, upstream, true);
+                    self.send_request(request, upstream, true);
                 }
             }
-            PlacementMessage::Refused { cause, .. } if is_open => {
-                let away_ms = match cause {
+            PlacementMessage::Refused { cause, .. } if is_pending => {
+                let delay_ms = match cause {
                     RefusalCause::NoRoom { retry_after_ms, .. } => retry_after_ms.as_f64(),
-                    RefusalCause::NoUpstream => super::USUAL_AWAY_MS,
+                    RefusalCause::NoUpstream => super::DEFAULT_RETRY_DELAY_MS,
                 };
-                self.refuse(request, away_ms);
+                self.refuse(request, delay_ms);
             }
             _ => {}
         }
     }
 
-    pub(super) fn give_up_on_scheduler(&mut self, request: usize) {
-        if self.requests[request].state != State::Unheard {
+    /// Withdraws the request and sends it to an upstream that the host chooses itself.
+    pub(super) fn handle_scheduler_timeout(&mut self, request: usize) {
+        if self.requests[request].state != RequestState::Unacknowledged {
             return;
         }
         let host = self.requests[request].host;
         let ticket = Ticket(request as u64);
-        self.tell_scheduler(
+        self.send_to_scheduler(
             host,
             PlacementMessage::Withdrawn { ticket, withdrawal: Withdrawal::NotSent },
         );
-        let upstream = self.emptier_of_two();
-        self.send(request, upstream, false);
+        let upstream = self.less_loaded_of_two();
+        self.send_request(request, upstream, false);
     }
 
-    /// Tells the scheduler how a request that it placed ended.
-    pub(super) fn note_end(&mut self, request: usize, failure: Option<AttemptFailure>) {
-        let taken = &self.requests[request];
-        let State::At { upstream, sent_ms, is_placed: true } = taken.state else { return };
+    /// Reports to the scheduler how a request that it placed ended.
+    pub(super) fn report_outcome(&mut self, request: usize, failure: Option<AttemptFailure>) {
+        let ended = &self.requests[request];
+        let RequestState::Sent { upstream, sent_ms, is_placed: true } = ended.state else { return };
         let mut report = self.upstreams[upstream].report();
-        // An answer's load counts the request that is answered.
+        // The load in a response still counts the request that it answers.
         report.running += 1;
         let report = failure.is_none().then_some(report);
         let took_ms = Millis((self.now_ms - sent_ms) as u64);
         let outcome = Outcome { failure, took_ms, report, backpressure: Backpressure::default() };
-        let (host, ticket) = (taken.host, Ticket(request as u64));
-        self.tell_scheduler(host, PlacementMessage::Ended { ticket, outcome });
+        let (host, ticket) = (ended.host, Ticket(request as u64));
+        self.send_to_scheduler(host, PlacementMessage::Ended { ticket, outcome });
     }
 }
 
